--- a/src/decisions/endpoint_limits/limit_register.ts
+++ b/src/decisions/endpoint_limits/limit_register.ts
@@ -1,52 +1,53 @@
 /**
- * The rates that endpoints in need say they take, as last observed here or at
- * another instance.
+ * Rate limits that overloaded endpoints announce in their responses, as last
+ * observed by this instance or reported by a peer.
  *
- * Load: answers overtake each other between an endpoint and many instances. The
- * newest one decides, and a limit is lifted only by an answer that is clearly
- * newer than all that named it.
+ * Load: responses from an endpoint to many instances arrive out of order. The
+ * newest one applies, and a limit is lifted only by a response that is newer by
+ * a margin than all that announced it.
  *
  * @module
  */
 import type { EndpointId } from "../../core/mod.ts";
 
-/** What one answer of an endpoint said of its limit. */
+/** The limit in one response of an endpoint. */
 export interface ObservedLimit {
-  /** Requests a second over the whole fleet; undefined if it named no limit. */
+  /** Requests a second over the whole fleet; undefined without a limit. */
   readonly ratePerS: number | undefined;
-  /** When the answer came, on this instance's clock. */
+  /** When the response arrived, on this instance's clock. */
   readonly at: number;
 }
 
 /**
- * How much newer than the last answer that named a limit one without has to
- * be, in milliseconds: answers take different times on their way here, and what
- * peers report is older by the way from them than it seems.
+ * Minimum age difference between the last response with a limit and one that
+ * lifts it: response latencies differ, and observations that peers report are
+ * older than they seem by the latency of gossip.
  */
 const LIFT_MARGIN_MS = 250;
-/** How long an observation is passed on to peers, in milliseconds. */
-const REPORTED_FOR_MS = 10_000;
+/** How long an observation is reported to peers. */
+const REPORT_FOR_MS = 10_000;
 
 interface Row {
-  named: ObservedLimit | undefined;
+  /** The latest response with a limit, and when one without it last came. */
+  latest: ObservedLimit | undefined;
   liftedAt: number;
-  /** The latest observation of this instance itself. */
+  /** The latest observation by this instance itself. */
   own: ObservedLimit | undefined;
 }
 
-/** Limits in force at one instance. */
+/** Limits in effect at one instance. */
 export class LimitRegister {
   readonly #rows = new Map<EndpointId, Row>();
-  /** When endpoints ended whose limits peers may still report. */
-  readonly #forgottenAt = new Map<EndpointId, number>();
+  /** When endpoints were removed whose limits peers may still report. */
+  readonly #removedAt = new Map<EndpointId, number>();
 
-  /** The rate that an endpoint takes; undefined without a limit. */
+  /** An endpoint's limit in requests a second; undefined without one. */
   limitOf(id: EndpointId): number | undefined {
     const row = this.#rows.get(id);
-    return row === undefined ? undefined : inForce(row);
+    return row === undefined ? undefined : effectiveLimit(row);
   }
 
-  /** Takes in an answer that this instance received. */
+  /** Records a response that this instance received. */
   observed(id: EndpointId, limit: ObservedLimit): void {
     const row = this.#rowFor(id, limit);
     if (row === undefined) return;
@@ -54,46 +55,46 @@
     update(row, limit);
   }
 
-  /** Takes in an answer that another instance received. */
+  /** Records a response that another instance received. */
   reported(id: EndpointId, limit: ObservedLimit): void {
-    if (limit.at <= (this.#forgottenAt.get(id) ?? -Infinity)) return;
+    if (limit.at <= (this.#removedAt.get(id) ?? -Infinity)) return;
     const row = this.#rowFor(id, limit);
     if (row !== undefined) update(row, limit);
   }
 
-  /** What this instance observed lately, for its peers. */
+  /** This instance's recent observations, for its peers. */
   report(now: number): Map<EndpointId, ObservedLimit> {
-    this.#dropOld(now);
+    this.#evictExpired(now);
     const own = new Map<EndpointId, ObservedLimit>();
     for (const [id, row] of this.#rows) {
-      if (row.own !== undefined && now - row.own.at < REPORTED_FOR_MS) {
+      if (row.own !== undefined && now - row.own.at < REPORT_FOR_MS) {
         own.set(id, row.own);
       }
     }
     return own;
   }
 
-  /** Forgets an endpoint that ended or started anew. */
+  /** Removes an endpoint that ended or restarted. */
   forget(id: EndpointId, now: number): void {
-    if (this.#rows.delete(id)) this.#forgottenAt.set(id, now);
+    if (this.#rows.delete(id)) this.#removedAt.set(id, now);
   }
 
-  /** An endpoint without a limit has no row until it first names one. */
+  /** Creates a row only once an endpoint announces a limit. */
   #rowFor(id: EndpointId, { ratePerS }: ObservedLimit): Row | undefined {
     const known = this.#rows.get(id);
     if (known !== undefined || ratePerS === undefined) return known;
-    const row = { named: undefined, liftedAt: -Infinity, own: undefined };
+    const row = { latest: undefined, liftedAt: -Infinity, own: undefined };
     this.#rows.set(id, row);
     return row;
   }
 
-  #dropOld(now: number): void {
+  #evictExpired(now: number): void {
     for (const [id, row] of this.#rows) {
-      const lifted = inForce(row) === undefined;
-      if (lifted && now - row.liftedAt > REPORTED_FOR_MS) this.#rows.delete(id);
+      const lifted = effectiveLimit(row) === undefined;
+      if (lifted && now - row.liftedAt > REPORT_FOR_MS) this.#rows.delete(id);
     }
-    for (const [id, at] of this.#forgottenAt) {
-      if (now - at > REPORTED_FOR_MS) this.#forgottenAt.delete(id);
+    for (const [id, at] of this.#removedAt) {
+      if (now - at > REPORT_FOR_MS) this.#removedAt.delete(id);
     }
   }
 }
@@ -101,12 +102,12 @@
 function update(row: Row, limit: ObservedLimit): void {
   if (limit.ratePerS === undefined) {
     row.liftedAt = Math.max(row.liftedAt, limit.at);
-  } else if (limit.at >= (row.named?.at ?? -Infinity)) {
-    row.named = limit;
+  } else if (limit.at >= (row.latest?.at ?? -Infinity)) {
+    row.latest = limit;
   }
 }
 
-function inForce({ named, liftedAt }: Row): number | undefined {
-  if (named === undefined) return undefined;
-  return liftedAt > named.at + LIFT_MARGIN_MS ? undefined : named.ratePerS;
+function effectiveLimit({ latest, liftedAt }: Row): number | undefined {
+  if (latest === undefined) return undefined;
+  return liftedAt > latest.at + LIFT_MARGIN_MS ? undefined : latest.ratePerS;
 }
--- a/src/decisions/endpoint_limits/limit_register_test.ts
+++ b/src/decisions/endpoint_limits/limit_register_test.ts
@@ -4,7 +4,7 @@
 
 const E1 = "e1" as EndpointId;
 
-test("the newest answer decides, wherever it came", (t) => {
+test("the newest response applies, whichever instance received it", (t) => {
   const register = new LimitRegister();
   register.observed(E1, { ratePerS: 6.6, at: 1_000 });
   register.reported(E1, { ratePerS: 5.2, at: 1_100 });
@@ -13,23 +13,23 @@
   t.is(register.limitOf(E1), 5.2);
 });
 
-// Guards against a limit that an answer lifts which overtook the one naming it.
-test("an answer of the same moment does not lift a limit; a later one does", (t) => {
+// Guards against a response that overtakes the one with the limit and lifts it.
+test("a response within the margin does not lift a limit; a later one does", (t) => {
   const register = new LimitRegister();
   register.observed(E1, { ratePerS: 6.6, at: 1_000 });
   register.reported(E1, { ratePerS: undefined, at: 1_040 });
   t.is(register.limitOf(E1), 6.6);
   register.observed(E1, { ratePerS: undefined, at: 1_300 });
   t.is(register.limitOf(E1), undefined);
-  // Late news of the limit does not bring it back.
+  // A delayed report of the limit does not restore it.
   register.reported(E1, { ratePerS: 6.6, at: 1_010 });
   t.is(register.limitOf(E1), undefined);
   register.observed(E1, { ratePerS: 3, at: 1_900 });
   t.is(register.limitOf(E1), 3);
 });
 
-// Guards against peers' news of an endpoint's last start limiting its next.
-test("what is known of an endpoint goes with its end", (t) => {
+// Guards against reports from before an endpoint's restart that limit it after.
+test("a removed endpoint's limit is dropped, and older reports of it are ignored", (t) => {
   const register = new LimitRegister();
   register.observed(E1, { ratePerS: 6.6, at: 1_000 });
   register.forget(E1, 1_500);
@@ -40,8 +40,8 @@
   t.is(register.limitOf(E1), 2);
 });
 
-// Guards against reports that circulate among instances and seem new for ever.
-test("only an instance's own observations are reported, for a while", (t) => {
+// Guards against observations that circulate among instances and never expire.
+test("only an instance's own observations are reported, for a limited time", (t) => {
   const register = new LimitRegister();
   register.reported(E1, { ratePerS: 6.6, at: 1_000 });
   t.is(register.report(1_100).size, 0);
--- a/src/decisions/endpoint_limits/limited_sends.ts
+++ b/src/decisions/endpoint_limits/limited_sends.ts
@@ -1,15 +1,15 @@
 /**
- * Rate limiting of requests to endpoints that name a limit for the whole fleet.
+ * Rate limiting of requests to endpoints that announce a fleet-wide limit.
  *
- * Load: an endpoint in need is the primary of keys that many instances request,
- * at several times the rate that it takes. Each instance admits the same part of
- * its demand, the limit over the fleet's demand, evenly spaced. So the rate
- * follows the demand at any fleet size, and no instance saves tokens that all
- * could spend at once. Limited by each instance alone, the endpoint would get
- * the rate from every one of them.
+ * Load: an overloaded endpoint is the primary of keys that many instances
+ * request, at several times its limit. Each instance admits the same fraction
+ * of its demand, the limit over the fleet's demand, evenly spaced. So the rate
+ * follows the demand at any fleet size, and instances accumulate no tokens that
+ * all could spend at once. If each instance applied the limit by itself, the
+ * endpoint would get that rate from every one of them.
  *
- * The sum of recent sends corrects the part, and stops a rise of the demand that
- * peers have not reported yet.
+ * Feedback from the recent sends of the fleet corrects the fraction, and bounds
+ * a rise in demand that peers have not reported yet.
  *
  * @module
  */
@@ -19,62 +19,62 @@
   type RatedId,
   type RateUse,
   type Reporter,
-  WindowCount,
+  SlidingWindowCounter,
 } from "../quotas/mod.ts";
 
-/** The window over which sends are counted, in milliseconds. */
+/** The sliding window over which sends are counted. */
 const WINDOW_MS = 4_000;
-/** Sends that the window may hold beyond the limit. */
+/** Sends that the window may hold above the limit. */
 const WINDOW_SLACK = 1;
 /**
- * The limit is multiplied by `BASE`, less `FEEDBACK` of the window's utilization:
- * at full utilization by one, below it by more.
+ * The limit is multiplied by `FEEDBACK_BASE`, less `FEEDBACK_GAIN` times the
+ * window's utilization: by one at full utilization, by more below it.
  */
-const BASE = 1.5;
-const FEEDBACK = 0.5;
+const FEEDBACK_BASE = 1.5;
+const FEEDBACK_GAIN = 0.5;
 /**
- * Part of a limit held in reserve for each second of gossip delay: a rise of the
- * demand is admitted until peers report it.
+ * Fraction of a limit held in reserve per second of gossip delay, for requests
+ * admitted before peers report a rise in demand.
  */
 const RESERVE_PER_S = 0.2;
 /**
- * Lowest rate in use, in requests a second: only an answer shows that a limit
- * has changed.
+ * Minimum rate in requests a second: a change of the limit shows only in
+ * responses, so some requests have to be sent.
  */
 const MIN_PER_S = 0.25;
-/** How far an instance may exceed its share of the window. */
+/** Factor by which an instance may exceed its share of the window. */
 const OWN_OVERSHOOT = 1.25;
-/** Credit by which the most urgent requests are admitted sooner. */
-const URGENT_ADVANCE = 0.5;
-/** Memory of the fleet's usual demand, in milliseconds. */
-const USUAL_MS = 3_000;
-const HASHES = 0x1_0000_0000;
+/** Credit in advance for requests of rank 0. */
+const URGENT_CREDIT = 0.5;
+/** Time constant of the fleet's baseline demand. */
+const BASELINE_TIME_CONSTANT_MS = 3_000;
+const HASH_RANGE = 0x1_0000_0000;
 const MS_PER_S = 1_000;
 
 /** A request for an endpoint with a limit. */
 export interface LimitedRequest {
-  /** Requests a second that the endpoint takes from all instances. */
+  /** The endpoint's limit over all instances, in requests a second. */
   readonly ratePerS: number;
-  /** How urgent the request is; 0 is the most urgent. */
+  /** Priority; 0 is the most urgent. */
   readonly rank: number;
 }
 
 interface Row {
-  /** Accumulated parts of requests; a whole one admits a request. */
+  /** Accumulated fractions of requests; a request costs 1. */
   credit: number;
-  /** Requests sent from here since the limit was learned. */
+  /** Requests sent from here since the row was created. */
   sent: number;
-  /** Recent sends of all instances as reported, and of this one. */
-  readonly window: WindowCount;
-  readonly ownWindow: WindowCount;
-  /** Usual demand of the fleet in requests a second, and when it was updated. */
-  usualPerS: number;
-  usualAt: number;
+  /** Recent sends of all instances as reported, and of this one alone. */
+  readonly window: SlidingWindowCounter;
+  readonly ownWindow: SlidingWindowCounter;
+  /** Baseline demand of the fleet, and when it was last updated. */
+  baselinePerS: number;
+  baselineAt: number;
   /** Sends of groups as of their last report. */
-  readonly counted: Map<InstanceId, { start: string; sent: number }>;
+  readonly reports: Map<InstanceId, { start: string; sent: number }>;
 }
 
-/** Sends to limited endpoints at one instance. */
+/** Limits one instance's requests to endpoints that announce a limit. */
 export class LimitedSends {
   readonly #own: InstanceId;
   readonly #demand: FleetDemand;
@@ -82,8 +82,8 @@
   readonly #rows = new Map<EndpointId, Row>();
 
   /**
-   * @param opts The fleet's demand, which counts that for endpoints too, and how
-   * old what peers report may be, in milliseconds.
+   * @param opts The fleet's demand, which covers endpoints too, and the maximum
+   * age of peers' reports.
    */
   constructor(
     own: InstanceId,
@@ -97,31 +97,31 @@
     this.#gossipDelayMs = opts.gossipDelayMs;
   }
 
-  /** Begins to count what peers send to an endpoint with a new limit. */
+  /** Starts counting what peers send to an endpoint with a new limit. */
   begin(id: EndpointId, now: number): void {
     this.#rowOf(id, now);
   }
 
-  /** Whether the next request to an endpoint is admitted. */
+  /** Whether the next request to an endpoint would be admitted. */
   hasRoom(id: EndpointId, req: LimitedRequest, now: number): boolean {
     const row = this.#rowOf(id, now);
-    return this.#hasWindow(row, id, req, now) &&
-      isAdmitted(row.credit + this.#part(row, id, req, now), req);
+    return this.#hasWindowRoom(row, id, req, now) &&
+      isAdmitted(row.credit + this.#admitFraction(row, id, req, now), req);
   }
 
   /**
-   * Counts a request that would go to an endpoint, and admits its part of them.
+   * Counts a request for an endpoint as demand, and admits or refuses it.
    *
    * @example
    * ```ts
-   * if (!sends.take(id, { ratePerS: 6.6, rank: 0 }, now)) chooseAnother();
+   * if (!limiter.take(id, { ratePerS: 6.6, rank: 0 }, now)) chooseAnother();
    * ```
    */
   take(id: EndpointId, req: LimitedRequest, now: number): boolean {
-    this.#demand.asked(id, now);
+    this.#demand.recordRequest(id, now);
     const row = this.#rowOf(id, now);
-    row.credit += this.#part(row, id, req, now);
-    const admitted = this.#hasWindow(row, id, req, now) &&
+    row.credit += this.#admitFraction(row, id, req, now);
+    const admitted = this.#hasWindowRoom(row, id, req, now) &&
       isAdmitted(row.credit, req);
     if (!admitted) {
       row.credit = Math.min(1, row.credit);
@@ -135,8 +135,8 @@
   }
 
   /**
-   * This instance's report. An endpoint stays in it once it was sent to: left
-   * out, its count would be a new baseline.
+   * This instance's report. An endpoint stays in it once a request was sent to
+   * it: if it were left out, its next count would be a new baseline.
    */
   uses(): Map<RatedId, RateUse> {
     const uses = new Map<RatedId, RateUse>();
@@ -149,36 +149,36 @@
     return uses;
   }
 
-  /** Applies a report of another instance, or of several as one. */
+  /** Applies a report of another instance or group. */
   reported(
     { instance, start }: Reporter,
     uses: ReadonlyMap<RatedId, RateUse>,
     now: number,
   ): void {
-    for (const [id, { counted, window }] of this.#rows) {
+    for (const [id, { reports, window }] of this.#rows) {
       const use = uses.get(id);
-      const before = counted.get(instance);
+      const before = reports.get(instance);
       const sent = use?.admitted ?? 0;
-      counted.set(instance, { start, sent });
+      reports.set(instance, { start, sent });
       // A first report is the baseline: its sends may be older than the window.
       if (before === undefined) continue;
-      const goesOn = before.start === start && sent >= before.sent;
-      window.add(sent - (goesOn ? before.sent : 0), now);
+      const isContinued = before.start === start && sent >= before.sent;
+      window.add(sent - (isContinued ? before.sent : 0), now);
     }
   }
 
-  /** A group is unreachable; its next report is a new baseline. */
+  /** Marks a group as unreachable: its next report is a new baseline. */
   unreachable(group: InstanceId): void {
-    for (const { counted } of this.#rows.values()) counted.delete(group);
+    for (const { reports } of this.#rows.values()) reports.delete(group);
   }
 
-  /** The endpoint has no limit any more, or has ended. */
+  /** Removes an endpoint that has ended or has no limit any more. */
   forget(id: EndpointId): void {
     this.#rows.delete(id);
   }
 
-  /** Whether recent sends leave room for one more. */
-  #hasWindow(
+  /** Whether recent sends leave room in the window for one more. */
+  #hasWindowRoom(
     row: Row,
     id: EndpointId,
     { ratePerS }: LimitedRequest,
@@ -186,41 +186,43 @@
   ): boolean {
     const { shares } = this.#demand;
     const perWindow = this.#usedPerS(ratePerS) * WINDOW_MS / MS_PER_S;
-    const reachable = perWindow * (1 - shares.reserved(id));
-    if (row.window.sum(now) >= reachable + WINDOW_SLACK) return false;
-    // Bounds what goes out before peers report a rise of the demand.
+    const reachablePerWindow = perWindow * (1 - shares.reserved(id));
+    if (row.window.sum(now) >= reachablePerWindow + WINDOW_SLACK) return false;
+    // Bounds what is sent before peers report a rise in demand.
     const own = perWindow * shares.own(id) * OWN_OVERSHOOT;
     return row.ownWindow.sum(now) < own + WINDOW_SLACK;
   }
 
-  /** The part of the requests for an endpoint that is sent. */
-  #part(
+  /** Fraction of the requests for an endpoint to admit. */
+  #admitFraction(
     row: Row,
     id: EndpointId,
     { ratePerS }: LimitedRequest,
     now: number,
   ): number {
-    const askedPerS = this.#askedPerS(row, id, now);
-    if (askedPerS <= 0) return 1;
+    const demandPerS = this.#demandPerS(row, id, now);
+    if (demandPerS <= 0) return 1;
     const usedPerS = this.#usedPerS(ratePerS);
-    // Only sends of reachable instances are counted, so only against their part.
-    const reachablePerS = usedPerS * this.#demand.heardPart(id);
+    // The window counts only reachable instances, so it is held to their part.
+    const reachablePerS = usedPerS * this.#demand.reachableFraction(id);
     const perWindow = reachablePerS * WINDOW_MS / MS_PER_S;
     const utilization = row.window.sum(now) / perWindow;
-    const aim = Math.max(0, BASE - FEEDBACK * utilization);
-    return Math.min(1, usedPerS * aim / askedPerS);
+    const feedback = Math.max(0, FEEDBACK_BASE - FEEDBACK_GAIN * utilization);
+    return Math.min(1, usedPerS * feedback / demandPerS);
   }
 
   /**
-   * The fleet's demand: as reported, or the usual one times the growth here, if
-   * that is more. Growth shows before peers report it.
+   * The fleet's demand: the reported one, or the baseline times the growth here
+   * if that is more, as local growth shows before peers report theirs.
    */
-  #askedPerS(row: Row, id: EndpointId, now: number): number {
+  #demandPerS(row: Row, id: EndpointId, now: number): number {
     const reportedPerS = this.#demand.fleetPerS(id, now);
-    const kept = Math.exp(Math.min(0, row.usualAt - now) / USUAL_MS);
-    row.usualPerS = row.usualPerS * kept + reportedPerS * (1 - kept);
-    row.usualAt = now;
-    return Math.max(reportedPerS, row.usualPerS * this.#demand.growth(now));
+    const decay = Math.exp(
+      Math.min(0, row.baselineAt - now) / BASELINE_TIME_CONSTANT_MS,
+    );
+    row.baselinePerS = row.baselinePerS * decay + reportedPerS * (1 - decay);
+    row.baselineAt = now;
+    return Math.max(reportedPerS, row.baselinePerS * this.#demand.growth(now));
   }
 
   #usedPerS(ratePerS: number): number {
@@ -228,18 +230,18 @@
     return Math.max(MIN_PER_S, ratePerS * (1 - reserve));
   }
 
-  /** Initial credits differ, so that instances do not send at the same time. */
+  /** Initial credits differ by instance, so that sends are not synchronized. */
   #rowOf(id: EndpointId, now: number): Row {
     const known = this.#rows.get(id);
     if (known !== undefined) return known;
     const row: Row = {
-      credit: hash(`${this.#own} ${id}`) / HASHES,
+      credit: hash(`${this.#own} ${id}`) / HASH_RANGE,
       sent: 0,
-      window: new WindowCount(WINDOW_MS, now),
-      ownWindow: new WindowCount(WINDOW_MS, now),
-      usualPerS: 0,
-      usualAt: -Infinity,
-      counted: new Map(),
+      window: new SlidingWindowCounter(WINDOW_MS, now),
+      ownWindow: new SlidingWindowCounter(WINDOW_MS, now),
+      baselinePerS: 0,
+      baselineAt: -Infinity,
+      reports: new Map(),
     };
     this.#rows.set(id, row);
     return row;
@@ -247,5 +249,5 @@
 }
 
 function isAdmitted(credit: number, { rank }: LimitedRequest): boolean {
-  return credit >= 1 - (rank === 0 ? URGENT_ADVANCE : 0);
+  return credit >= 1 - (rank === 0 ? URGENT_CREDIT : 0);
 }
--- a/src/decisions/endpoint_limits/limited_sends_test.ts
+++ b/src/decisions/endpoint_limits/limited_sends_test.ts
@@ -13,40 +13,40 @@
   type LimitMember,
 } from "./testing/limit_fleet.ts";
 
-/** Time in which all instances learn of a limit, in milliseconds. */
+/** Time in which instances learn of the limit and of the demand. */
 const LEARN_MS = 3_000;
-const DIRECT_MS = 20;
-const BY_RELAY_MS = 650;
+const DIRECT_DELAY_MS = 20;
+const RELAYED_DELAY_MS = 650;
 
-/** Four fifths of the demand at a third of the instances, as in one region. */
+/** Regional demand: four fifths of it at a third of the instances. */
 function regional(size: number, perS: number): (m: LimitMember) => number {
-  const near = Math.ceil(size / 3);
+  const nearby = Math.ceil(size / 3);
   return ({ index }) =>
-    index % 3 === 0 ? 0.8 * perS / near : 0.2 * perS / (size - near);
+    index % 3 === 0 ? 0.8 * perS / nearby : 0.2 * perS / (size - nearby);
 }
 
 const FLEETS = [
-  { size: 12, gossipDelayMs: DIRECT_MS, rates: [0.8, 5.2, 20] },
+  { size: 12, gossipDelayMs: DIRECT_DELAY_MS, rates: [0.8, 5.2, 20] },
   { size: 24, gossipDelayMs: 70, rates: [0.8, 5.2, 20] },
-  { size: 60, gossipDelayMs: BY_RELAY_MS, rates: [2, 5.2] },
+  { size: 60, gossipDelayMs: RELAYED_DELAY_MS, rates: [2, 5.2] },
 ] as const;
 
 for (const { size, gossipDelayMs, rates } of FLEETS) {
-  // Guards against instances that keep a limit alone and pass it together.
-  test(`${size} instances keep to a limit at three times the demand, and use it`, (t) => {
+  // Guards against instances that each keep to a limit and exceed it in sum.
+  test(`${size} instances stay within a limit at three times the demand, and use it`, (t) => {
     for (const ratePerS of rates) {
       const fleet = new LimitFleet({ size, gossipDelayMs, ratePerS, seed: 1 });
       fleet.run(LEARN_MS, regional(size, 3 * ratePerS));
-      fleet.countAnew();
+      fleet.resetCounts();
       fleet.run(12_000, regional(size, 3 * ratePerS));
-      t.true(fleet.worst <= allowed(ratePerS), `${fleet.worst}`);
+      t.true(fleet.maxInWindow <= allowed(ratePerS), `${fleet.maxInWindow}`);
       t.true(fleet.sent >= ratePerS * 12 * 0.6, `${fleet.sent}`);
     }
   });
 }
 
-// Guards against a rise of the demand that goes out before peers report it.
-test("a limit holds while the demand rises to many times what it was", (t) => {
+// Guards against admitting a rise in demand before peers report it.
+test("a limit holds while demand rises many times over", (t) => {
   for (const size of [12, 24]) {
     for (const ratePerS of [0.8, 5.2, 20]) {
       const fleet = new LimitFleet({
@@ -59,39 +59,45 @@
       for (const times of [8, 0.3, 8, 0, 4]) {
         fleet.run(4_000, regional(size, times * ratePerS));
       }
-      t.true(fleet.worst <= allowed(ratePerS), `${size}: ${fleet.worst}`);
+      t.true(
+        fleet.maxInWindow <= allowed(ratePerS),
+        `${size}: ${fleet.maxInWindow}`,
+      );
     }
   }
 });
 
-// Guards against a burst that goes out before relays have reported it.
-test("by relays a limit holds while all demand rises to six times", (t) => {
+// Guards against admitting a burst before relays have reported it.
+test("with reports through relays a limit holds while all demand rises sixfold", (t) => {
   const size = 80;
   const ratePerS = 5.2;
   for (const seed of [1, 4]) {
     const fleet = new LimitFleet({
       size,
-      gossipDelayMs: BY_RELAY_MS,
+      gossipDelayMs: RELAYED_DELAY_MS,
       ratePerS,
       seed,
     });
     fleet.run(6_000, regional(size, ratePerS), 9);
-    fleet.countAnew();
+    fleet.resetCounts();
     for (let burst = 0; burst < 2; burst++) {
       fleet.run(5_000, regional(size, 6 * ratePerS), 54);
       fleet.run(5_000, regional(size, ratePerS), 9);
     }
-    t.true(fleet.worst <= allowed(ratePerS), `${seed}: ${fleet.worst}`);
+    t.true(
+      fleet.maxInWindow <= allowed(ratePerS),
+      `${seed}: ${fleet.maxInWindow}`,
+    );
   }
 });
 
-// Guards against shares of instances that are cut off being spent twice.
-test("both sides of a cut keep to the limit together", (t) => {
+// Guards against spending the shares of partitioned instances twice.
+test("both sides of a partition together stay within the limit", (t) => {
   const ratePerS = 5.2;
   const demand = regional(12, 3 * ratePerS);
   const fleet = new LimitFleet({
     size: 12,
-    gossipDelayMs: DIRECT_MS,
+    gossipDelayMs: DIRECT_DELAY_MS,
     ratePerS,
     seed: 3,
   });
@@ -100,10 +106,10 @@
   fleet.run(8_000, demand);
   fleet.heal();
   fleet.run(8_000, demand);
-  t.true(fleet.worst <= allowed(ratePerS), `${fleet.worst}`);
+  t.true(fleet.maxInWindow <= allowed(ratePerS), `${fleet.maxInWindow}`);
 });
 
-const HAPPENINGS = fc.oneof(
+const EVENTS = fc.oneof(
   fc.record({
     kind: fc.constant("demand" as const),
     times: fc.double({ min: 0, max: 6, noNaN: true }),
@@ -119,35 +125,35 @@
   }),
 );
 
-// Guards against passing an endpoint's limit whatever happens to the fleet.
-test("whatever is cut off, restarted or asked for, no window passes the limit", (t) => {
+// Guards against exceeding an endpoint's limit after a sequence of faults.
+test("no window exceeds the limit under random partitions, restarts and demand", (t) => {
   fc.assert(
     fc.property(
-      fc.array(HAPPENINGS, { minLength: 1, maxLength: 5 }),
+      fc.array(EVENTS, { minLength: 1, maxLength: 5 }),
       fc.constantFrom(0.8, 5.2, 20),
-      (happenings, ratePerS) => {
+      (events, ratePerS) => {
         const fleet = new LimitFleet({
           size: 12,
-          gossipDelayMs: DIRECT_MS,
+          gossipDelayMs: DIRECT_DELAY_MS,
           ratePerS,
           seed: 4,
         });
         let times = 2;
         fleet.run(LEARN_MS, regional(12, times * ratePerS));
-        for (const happening of happenings) {
-          if (happening.kind === "demand") times = happening.times;
-          if (happening.kind === "heal") fleet.heal();
-          if (happening.kind === "cut") {
-            fleet.cut(fleet.members.slice(0, happening.count));
+        for (const event of events) {
+          if (event.kind === "demand") times = event.times;
+          if (event.kind === "heal") fleet.heal();
+          if (event.kind === "cut") {
+            fleet.cut(fleet.members.slice(0, event.count));
           }
-          if (happening.kind === "restart") {
-            for (const m of fleet.members.slice(-happening.count)) {
+          if (event.kind === "restart") {
+            for (const m of fleet.members.slice(-event.count)) {
               fleet.restart(m);
             }
           }
           fleet.run(2_000, regional(12, times * ratePerS));
         }
-        return fleet.worst <= allowed(ratePerS);
+        return fleet.maxInWindow <= allowed(ratePerS);
       },
     ),
     { numRuns: 40, seed: 30 },
@@ -155,43 +161,43 @@
   t.pass();
 });
 
-/** One instance alone. */
-function alone(): { demand: FleetDemand; sends: LimitedSends } {
+/** A fleet of one instance. */
+function singleInstance(): { demand: FleetDemand; limiter: LimitedSends } {
   const own = "i1" as InstanceId;
   const demand = new FleetDemand(own, () => 1);
   return {
     demand,
-    sends: new LimitedSends(own, {
+    limiter: new LimitedSends(own, {
       demand,
       gossipDelayMs: () => DIRECT_GOSSIP_DELAY_MS,
     }),
   };
 }
 
-// Guards against an endpoint that no instance asks again once it names zero.
-test("an endpoint that takes nothing is asked now and then", (t) => {
-  const { demand, sends } = alone();
+// Guards against a limit of zero that stops all requests and is never lifted.
+test("an endpoint with a limit of zero still gets requests at the minimum rate", (t) => {
+  const { demand, limiter } = singleInstance();
   let sent = 0;
   for (let now = 0; now < 40_000; now += 100) {
     if (now % 250 < 100) demand.tick(now);
     const req = { ratePerS: 0, rank: 1 };
-    if (sends.take("e1" as EndpointId, req, now)) sent++;
+    if (limiter.take("e1" as EndpointId, req, now)) sent++;
   }
   t.true(sent >= 4 && sent <= 14, `${sent}`);
 });
 
-// Guards against less urgent requests that use up a limit before urgent ones.
-test("within a limit the most urgent requests are sent first", (t) => {
-  const { demand, sends } = alone();
+// Guards against less urgent requests that use up a limit.
+test("within a limit the most urgent requests are admitted more often", (t) => {
+  const { demand, limiter } = singleInstance();
   const random = new SeededRandom(5);
   const sent = [0, 0];
-  const asked = [0, 0];
+  const requests = [0, 0];
   for (let now = 0; now < 60_000; now += 50) {
     if (now % 250 === 0) demand.tick(now);
     const rank = random.below(2);
-    asked[rank]!++;
+    requests[rank]!++;
     const req = { ratePerS: 5, rank };
-    if (sends.take("e1" as EndpointId, req, now)) sent[rank]!++;
+    if (limiter.take("e1" as EndpointId, req, now)) sent[rank]!++;
   }
-  t.true(sent[0]! / asked[0]! > 2 * sent[1]! / asked[1]!, `${sent}`);
+  t.true(sent[0]! / requests[0]! > 2 * sent[1]! / requests[1]!, `${sent}`);
 });
--- a/src/decisions/endpoint_limits/mod.ts
+++ b/src/decisions/endpoint_limits/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Rates that endpoints in need take from the whole fleet.
+ * Fleet-wide rate limits that overloaded endpoints announce.
  *
  * @module
  */
--- a/src/decisions/limits/borrow_rounds.ts
+++ b/src/decisions/limits/borrow_rounds.ts
@@ -1,10 +1,10 @@
 /**
- * Asking other instances at once, for requests that already wait.
+ * Borrows tokens from other instances immediately, for requests in a queue.
  *
- * A batch goes once a tick; an account whose burst is smaller than the number
- * of instances has less than one token anywhere, so each of its requests would
- * wait a tick or more. A round asks the zone-mates and, if that is not enough,
- * all others, each side by one short call.
+ * Load: an account whose burst is smaller than the number of instances has less
+ * than one token at each. Batches are sent once a tick, so each of its requests
+ * would wait a tick or more. A round calls instances in the same zone and then,
+ * if that is not enough, in the other zones, with one short call each.
  *
  * @module
  */
@@ -15,53 +15,53 @@
 import type { RateRow } from "../budgets/rate_row.ts";
 import type { BudgetAsk } from "../../gen/budget_pb.ts";
 
-/** Sends one question; `done` is called once, answered or not. */
+/** Sends borrow requests; `done` is called once, whether or not it succeeds. */
 export interface Lenders {
   borrow(lender: BudgetPeer, ask: BudgetAsk, done: () => void): void;
 }
 
-/** What rounds need. */
+/** Dependencies of {@link BorrowRounds}. */
 export interface BorrowRoundsDeps {
   readonly clock: Clock;
   readonly self: BudgetPeer;
   readonly budgets: RateBudgets;
   readonly lenders: Lenders;
   readonly peers: () => readonly BudgetPeer[];
-  /** Told when everybody in reach was asked. */
+  /** Called when a round ends: all groups were asked, or no token is needed. */
   readonly onEnd: (row: RateRow) => void;
 }
 
-/** Between two rounds of one account, in milliseconds; bounds the calls. */
-const ROUND_GAP_MS = 50;
+/** Minimum time between starts of rounds for an account; bounds the calls. */
+const MIN_ROUND_INTERVAL_MS = 50;
 
-/** Rounds in flight at once over all accounts; the others use the batches. */
-const MOST_ROUNDS = 32;
+/** Concurrent rounds over all accounts; the others borrow through batches. */
+const MAX_ROUNDS = 32;
 
-/** Rounds of questions, at most one at a time for each account. */
+/** Runs borrow rounds, at most one at a time for each account. */
 export class BorrowRounds {
   readonly #deps: BorrowRoundsDeps;
   readonly #startedAt = new Map<RateRow, number>();
   readonly #running = new Set<RateRow>();
-  #turn = 0;
+  #rotation = 0;
 
   constructor(deps: BorrowRoundsDeps) {
     this.#deps = deps;
   }
 
-  /** Starts a round unless one runs or has just run. */
+  /** Starts a round unless one is running or started recently. */
   start(row: RateRow): void {
     const now = this.#deps.clock.now();
     const last = this.#startedAt.get(row) ?? -Infinity;
-    if (this.#running.has(row) || this.#running.size >= MOST_ROUNDS) return;
-    if (now - last < ROUND_GAP_MS) return;
+    if (this.#running.has(row) || this.#running.size >= MAX_ROUNDS) return;
+    if (now - last < MIN_ROUND_INTERVAL_MS) return;
     this.#startedAt.set(row, now);
     this.#running.add(row);
-    this.#turn += 1;
+    this.#rotation += 1;
     this.#askGroup(row, this.#deps.budgets.tokenLenders(row));
   }
 
-  /** Forgets an account that waits for nothing. */
-  forget(row: RateRow): void {
+  /** Drops the state of an account without waiting requests. */
+  remove(row: RateRow): void {
     if (!this.#running.has(row)) this.#startedAt.delete(row);
   }
 
@@ -75,14 +75,14 @@
       this.#deps.onEnd(row);
       return;
     }
-    const asked = askTokens(missing, group, this.#turn);
-    let open = asked.length;
-    for (const { peer, tokens } of asked) {
-      const wanted = askEach(budgets.want(row, now), asked.length);
+    const requests = askTokens(missing, group, this.#rotation);
+    let pending = requests.length;
+    for (const { peer, tokens } of requests) {
+      const wanted = askEach(budgets.want(row, now), requests.length);
       const ask = budgets.askNow(row, peer.instance, { wanted, tokens, now });
       lenders.borrow(peer, ask, () => {
-        open -= 1;
-        if (open === 0) this.#askGroup(row, rest);
+        pending -= 1;
+        if (pending === 0) this.#askGroup(row, rest);
       });
     }
   }
--- a/src/decisions/limits/fixed_split_limiter.ts
+++ b/src/decisions/limits/fixed_split_limiter.ts
@@ -1,17 +1,16 @@
 /**
- * The plain baseline: every instance has the same fixed part of each rate.
+ * Baseline rate limiter: every instance has the same fixed share of each rate.
  *
- * It is safe whatever fails, since the parts are the document's and never
- * move. What goes wrong with it: an account whose callers all use one instance
- * is refused at a fraction of its rate, which shows as refusals of an account
- * whose rate over all instances is below its limit.
+ * It holds under any failure, since shares follow from the document alone. Its
+ * weakness: an account whose callers all use one instance is limited to that
+ * instance's share, and refused although its total rate is below the limit.
  *
  * @module
  */
 import { ok, type Result } from "neverthrow";
 import type { AccountId, Clock, Failure } from "../../core/mod.ts";
 import { type SteeringDocument, zonesOf } from "../../document/mod.ts";
-import { noRate, overRate } from "./rate_refusal.ts";
+import { rateExceeded, rateMissing } from "./rate_refusal.ts";
 import type { RateLimiter } from "./rate_limiter.ts";
 import { type BucketSize, TokenBucket } from "./token_bucket.ts";
 
@@ -45,10 +44,10 @@
 
   #take(account: AccountId): Result<void, Failure> {
     const bucket = this.#buckets.get(account);
-    if (bucket === undefined) return noRate(account);
+    if (bucket === undefined) return rateMissing(account);
     const now = this.#clock.now();
     if (bucket.take(now)) return ok(undefined);
-    return overRate(account, bucket.waitMs(now));
+    return rateExceeded(account, bucket.waitMs(now));
   }
 
   #resize(id: AccountId, size: BucketSize): void {
--- a/src/decisions/limits/leased_limiter.ts
+++ b/src/decisions/limits/leased_limiter.ts
@@ -1,7 +1,7 @@
 /**
- * Admission by parts that follow demand: the fast path spends a token of this
- * instance's part; a request without one waits, within its deadline, while a
- * part moves here.
+ * Rate limiter in which instances lend each other shares of a rate as demand
+ * shifts. The fast path spends a token of this instance's share; a request
+ * without one waits, within its deadline, while this instance borrows.
  *
  * @module
  */
@@ -20,7 +20,7 @@
 import type { RateRow } from "../budgets/rate_row.ts";
 import type { BorrowRounds } from "./borrow_rounds.ts";
 import type { RateLimiter, TakeOptions } from "./rate_limiter.ts";
-import { noRate, overRate } from "./rate_refusal.ts";
+import { rateExceeded, rateMissing } from "./rate_refusal.ts";
 
 interface Waiter {
   readonly deadline: number;
@@ -31,14 +31,14 @@
   readonly row: RateRow;
   waiters: Waiter[];
   timer: Timer | undefined;
-  /** Since when others have had nothing to lend; undefined if they have. */
+  /** Start of the current shortage: rounds end with requests waiting. */
   scarceSince: number | undefined;
   scarceSeenAt: number;
-  /** Whether others lent something since the last round began. */
-  grown: boolean;
+  /** Whether this instance's share has grown since the last round ended. */
+  shareGrown: boolean;
 }
 
-/** What a limiter needs. */
+/** Dependencies of {@link LeasedLimiter}. */
 export interface LeasedLimiterDeps {
   readonly clock: Clock;
   readonly budgets: RateBudgets;
@@ -46,19 +46,19 @@
 }
 
 const MS_PER_S = 1_000;
-/** A shortage not seen for this long, in milliseconds, is over. */
-const SCARCE_FORGET_MS = 1_000;
-/** Between two looks at a queue, in milliseconds. */
-const LOOK_MS = 50;
-const SHORTEST_LOOK_MS = 1;
+/** A shortage that was not observed for this long has ended. */
+const SHORTAGE_EXPIRY_MS = 1_000;
+/** Bounds of the time between two checks of a queue. */
+const MAX_CHECK_INTERVAL_MS = 50;
+const MIN_CHECK_INTERVAL_MS = 1;
 
-/** Spends this instance's part of each account's rate, and borrows for it. */
+/** Spends this instance's share of each account's rate, and borrows more. */
 export class LeasedLimiter implements RateLimiter {
   readonly #clock: Clock;
   readonly #budgets: RateBudgets;
   readonly #rounds: BorrowRounds;
   readonly #queues = new Map<AccountId, Queue>();
-  readonly #taken = Promise.resolve<Result<void, Failure>>(ok(undefined));
+  readonly #admitted = Promise.resolve<Result<void, Failure>>(ok(undefined));
 
   constructor(deps: LeasedLimiterDeps) {
     this.#clock = deps.clock;
@@ -80,21 +80,21 @@
   ): Promise<Result<void, Failure>> {
     const now = this.#clock.now();
     const row = this.#budgets.open(account, now);
-    if (row === undefined) return Promise.resolve(noRate(account));
+    if (row === undefined) return Promise.resolve(rateMissing(account));
     row.share.demand.hit(now);
-    if (row.waiting === 0 && row.share.take(now)) return this.#taken;
+    if (row.waiting === 0 && row.share.take(now)) return this.#admitted;
     return new Promise((settle) => this.#wait(row, opts, settle));
   }
 
-  /** Serves what waits for the account; called when its part has grown. */
+  /** Admits the account's waiting requests; called when its share has grown. */
   pump(account: AccountId): void {
     const queue = this.#queues.get(account);
     if (queue === undefined) return;
-    queue.grown = true;
-    this.#pump(queue);
+    queue.shareGrown = true;
+    this.#serveQueue(queue);
   }
 
-  /** Refuses everything that waits. */
+  /** Refuses all waiting requests. */
   close(): void {
     for (const account of [...this.#queues.keys()]) this.#drop(account);
   }
@@ -115,10 +115,10 @@
       once: true,
     });
     this.#rounds.start(row);
-    this.#pump(queue);
+    this.#serveQueue(queue);
   }
 
-  /** Why the request at `position` should not wait; undefined if it may. */
+  /** The refusal of the request at `position`; undefined if it may wait. */
   #refusal(
     queue: Queue,
     position: number,
@@ -138,12 +138,15 @@
     };
     if (mayWait(shortage)) return undefined;
     if (queue.scarceSince !== undefined) queue.scarceSeenAt = now;
-    return overRate(row.account, Number.isFinite(waitMs) ? waitMs : LEASE_MS);
+    return rateExceeded(
+      row.account,
+      Number.isFinite(waitMs) ? waitMs : LEASE_MS,
+    );
   }
 
   #scarceForMs(queue: Queue, now: number): number {
     if (queue.scarceSince === undefined) return 0;
-    if (now - queue.scarceSeenAt > SCARCE_FORGET_MS) {
+    if (now - queue.scarceSeenAt > SHORTAGE_EXPIRY_MS) {
       queue.scarceSince = undefined;
       return 0;
     }
@@ -153,44 +156,44 @@
   #roundEnded(row: RateRow): void {
     const queue = this.#queues.get(row.account);
     if (queue === undefined) return;
-    this.#pump(queue);
+    this.#serveQueue(queue);
     const now = this.#clock.now();
-    const { grown } = queue;
-    queue.grown = false;
+    const { shareGrown } = queue;
+    queue.shareGrown = false;
     if (queue.waiters.length === 0) {
       const { ratePerS } = row.share.total;
       const fleetDemand = this.#budgets.fleetDemand(row, now);
-      const lent = grown && !isOver({ fleetDemand, ratePerS });
+      const lent = shareGrown && !isOver({ fleetDemand, ratePerS });
       if (lent) queue.scarceSince = undefined;
       return;
     }
     if (this.#scarceForMs(queue, now) === 0) queue.scarceSince = now;
     queue.scarceSeenAt = now;
-    this.#refuseHopeless(queue);
+    this.#refuseUnservable(queue);
   }
 
-  /** Serves in order of arrival, ends what ran out, and looks again later. */
-  #pump(queue: Queue): void {
+  /** Admits in order of arrival, refuses expired ones, schedules a check. */
+  #serveQueue(queue: Queue): void {
     const { row } = queue;
     const now = this.#clock.now();
     if (this.#budgets.open(row.account, now) !== row) return;
     const served: Waiter[] = [];
-    const late: Waiter[] = [];
-    const left: Waiter[] = [];
+    const expired: Waiter[] = [];
+    const waiting: Waiter[] = [];
     for (const waiter of queue.waiters) {
-      if (waiter.deadline <= now) late.push(waiter);
-      else if (left.length === 0 && row.share.take(now)) served.push(waiter);
-      else left.push(waiter);
+      if (waiter.deadline <= now) expired.push(waiter);
+      else if (waiting.length === 0 && row.share.take(now)) served.push(waiter);
+      else waiting.push(waiter);
     }
-    queue.waiters = left;
-    row.waiting = left.length;
-    this.#look(queue);
+    queue.waiters = waiting;
+    row.waiting = waiting.length;
+    this.#scheduleCheck(queue);
     for (const { settle } of served) settle(ok(undefined));
-    const waitMs = row.share.waitMs(now, left.length + 1);
-    for (const { settle } of late) settle(overRate(row.account, waitMs));
+    const waitMs = row.share.waitMs(now, waiting.length + 1);
+    for (const { settle } of expired) settle(rateExceeded(row.account, waitMs));
   }
 
-  #refuseHopeless(queue: Queue): void {
+  #refuseUnservable(queue: Queue): void {
     const kept: Waiter[] = [];
     for (const waiter of queue.waiters) {
       const refusal = this.#refusal(queue, kept.length + 1, waiter.deadline);
@@ -201,18 +204,25 @@
     queue.row.waiting = kept.length;
   }
 
-  #look(queue: Queue): void {
+  #scheduleCheck(queue: Queue): void {
     queue.timer?.close();
     queue.timer = undefined;
-    if (queue.waiters.length === 0) return this.#rounds.forget(queue.row);
+    if (queue.waiters.length === 0) return this.#rounds.remove(queue.row);
     const now = this.#clock.now();
     const first = Math.min(...queue.waiters.map((w) => w.deadline)) - now;
-    const next = Math.min(queue.row.share.waitMs(now, 1), first, LOOK_MS);
-    queue.timer = this.#clock.after(Math.max(SHORTEST_LOOK_MS, next), () => {
-      queue.timer = undefined;
-      this.#pump(queue);
-      if (queue.waiters.length > 0) this.#rounds.start(queue.row);
-    });
+    const next = Math.min(
+      queue.row.share.waitMs(now, 1),
+      first,
+      MAX_CHECK_INTERVAL_MS,
+    );
+    queue.timer = this.#clock.after(
+      Math.max(MIN_CHECK_INTERVAL_MS, next),
+      () => {
+        queue.timer = undefined;
+        this.#serveQueue(queue);
+        if (queue.waiters.length > 0) this.#rounds.start(queue.row);
+      },
+    );
   }
 
   #cancel(queue: Queue, waiter: Waiter): void {
@@ -234,7 +244,7 @@
       timer: undefined,
       scarceSince: undefined,
       scarceSeenAt: -Infinity,
-      grown: false,
+      shareGrown: false,
     };
     this.#queues.set(row.account, queue);
     return queue;
@@ -244,6 +254,6 @@
     const queue = this.#queues.get(account);
     this.#queues.delete(account);
     queue?.timer?.close();
-    for (const { settle } of queue?.waiters ?? []) settle(noRate(account));
+    for (const { settle } of queue?.waiters ?? []) settle(rateMissing(account));
   }
 }
--- a/src/decisions/limits/mod.ts
+++ b/src/decisions/limits/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Who may send how much.
+ * Rate limiters for client accounts, and their token buckets.
  *
  * @module
  */
--- a/src/decisions/limits/rate_limiter.ts
+++ b/src/decisions/limits/rate_limiter.ts
@@ -1,5 +1,5 @@
 /**
- * Admission by a client account's rate and burst.
+ * Interface of rate limiters for client accounts.
  *
  * @module
  */
@@ -9,19 +9,19 @@
 
 /** How long a request can wait for its account's rate. */
 export interface TakeOptions {
-  /** When the caller's patience ends, on the limiter's clock. */
+  /** Deadline of the request, on the limiter's clock. */
   readonly deadline: number;
-  /** Ends the wait when the caller goes away. */
+  /** Ends the wait when the caller disconnects. */
   readonly signal?: AbortSignal;
 }
 
-/** Decides whether a request is within its account's rate. */
+/** Admits requests within their account's rate. */
 export interface RateLimiter {
-  /** Takes over rates and bursts of a newly accepted document. */
+  /** Applies the rates and bursts of a newly accepted document. */
   adopt(document: SteeringDocument, generation: number): void;
   /**
-   * Spends one request of the account, now or after a wait that ends before
-   * the deadline.
+   * Takes a token for one request of the account, now or after a wait that ends
+   * before the deadline.
    *
    * Failures: `rate_exceeded`, `cancelled`; both are `not-run`.
    */
--- a/src/decisions/limits/rate_refusal.ts
+++ b/src/decisions/limits/rate_refusal.ts
@@ -1,5 +1,5 @@
 /**
- * Refusals for an account's rate.
+ * Failures of requests that exceed their account's rate.
  *
  * @module
  */
@@ -7,14 +7,14 @@
 import { type AccountId, fail, type Failure } from "../../core/mod.ts";
 
 /** Refuses an account that the document gives no rate. */
-export function noRate(account: AccountId): Result<void, Failure> {
+export function rateMissing(account: AccountId): Result<void, Failure> {
   return fail("rate_exceeded", `account ${account} has no rate`, {
     outcome: "not-run",
   });
 }
 
-/** Refuses a request for which there is no token for `waitMs` milliseconds. */
-export function overRate(
+/** Refuses a request for which a token is due in `waitMs` milliseconds. */
+export function rateExceeded(
   account: AccountId,
   waitMs: number,
 ): Result<void, Failure> {
--- a/src/decisions/limits/return_schedule.ts
+++ b/src/decisions/limits/return_schedule.ts
@@ -1,30 +1,29 @@
 /**
- * When refused callers are told to come back.
+ * Chooses the Retry-After of refused requests.
  *
- * The load it answers: a client account that sends several times its rate. Told
- * the same short time, all that were refused come back together, find one token
- * and are refused again, with the retry they had spent. Here each is told a
- * time of its own, as far apart as room is made, so that who comes back finds
- * room unless others came in between.
+ * Load: a client account that sends several times its rate. With the same short
+ * Retry-After, all refused callers retry together, find one token and are
+ * refused again, with a retry spent. Here each gets a different time, spaced as
+ * capacity becomes available, so that a retry succeeds unless new requests took
+ * the capacity.
  *
  * @module
  */
 
-/** Times handed out for one account or service. */
+/** Retry-After values of one account or service. */
 export class ReturnSchedule {
-  readonly #longestMs: number;
+  readonly #maxMs: number;
   #lastAt = -Infinity;
 
-  /** @param longestMs The longest that a caller is told to stay away. */
-  constructor(longestMs: number) {
-    this.#longestMs = longestMs;
+  constructor(maxMs: number) {
+    this.#maxMs = maxMs;
   }
 
   /**
-   * The next time to come back, in milliseconds from now.
+   * The next Retry-After, in milliseconds.
    *
-   * @param firstMs When the first room is expected.
-   * @param everyMs How often room is made.
+   * @param firstMs Time until capacity is first available.
+   * @param everyMs Interval at which more becomes available.
    *
    * @example
    * ```ts
@@ -33,7 +32,7 @@
    */
   next(now: number, firstMs: number, everyMs: number): number {
     const at = Math.max(now + firstMs, this.#lastAt + everyMs);
-    if (at - now > this.#longestMs) return this.#longestMs;
+    if (at - now > this.#maxMs) return this.#maxMs;
     this.#lastAt = at;
     return at - now;
   }
--- a/src/decisions/limits/token_bucket.ts
+++ b/src/decisions/limits/token_bucket.ts
@@ -1,5 +1,5 @@
 /**
- * A token bucket: tokens arrive at a steady rate up to a burst.
+ * Token bucket.
  *
  * @module
  */
@@ -13,68 +13,68 @@
 }
 
 /**
- * Tokens of one account at one instance.
+ * Token bucket that refills at a steady rate up to a burst.
  *
- * A new bucket is empty unless told otherwise: a share that moves must not
- * bring a second burst with it.
+ * A new bucket is empty by default: a share that moves to another instance must
+ * not grant the burst a second time.
  */
 export class TokenBucket {
   #size: BucketSize;
   #tokens: number;
-  #filledAt: number;
+  #refilledAt: number;
 
   constructor(size: BucketSize, now: number, tokens = 0) {
     this.#size = size;
     this.#tokens = Math.min(tokens, size.burst);
-    this.#filledAt = now;
+    this.#refilledAt = now;
   }
 
-  /** Takes `count` tokens if there are as many. */
+  /** Takes `count` tokens if that many are available. */
   take(now: number, count = 1): boolean {
-    this.#fill(now);
+    this.#refill(now);
     if (this.#tokens < count) return false;
     this.#tokens -= count;
     return true;
   }
 
-  /** Milliseconds until `count` tokens are there; infinite if they never are. */
+  /** Milliseconds until `count` tokens are available; infinite if never. */
   waitMs(now: number, count = 1): number {
-    this.#fill(now);
+    this.#refill(now);
     if (this.#size.burst < count) return Infinity;
     const missing = count - this.#tokens;
     return missing <= 0 ? 0 : missing / this.#size.ratePerS * MS_PER_S;
   }
 
-  /** Removes up to `count` tokens and gives how many it removed. */
+  /** Removes up to `count` tokens and returns how many it removed. */
   remove(now: number, count: number): number {
-    this.#fill(now);
+    this.#refill(now);
     const removed = Math.max(0, Math.min(this.#tokens, count));
     this.#tokens -= removed;
     return removed;
   }
 
-  /** Adds tokens that another bucket has removed; none go over the burst. */
+  /** Adds tokens that were removed from another bucket, up to the burst. */
   add(now: number, count: number): void {
-    this.#fill(now);
+    this.#refill(now);
     this.#tokens = Math.min(this.#size.burst, this.#tokens + count);
   }
 
-  /** Changes rate and burst; tokens over the new burst are dropped. */
+  /** Changes rate and burst; tokens above the new burst are dropped. */
   resize(size: BucketSize, now: number): void {
-    this.#fill(now);
+    this.#refill(now);
     this.#size = size;
     this.#tokens = Math.min(this.#tokens, size.burst);
   }
 
-  /** Tokens at hand. */
+  /** Available tokens. */
   tokens(now: number): number {
-    this.#fill(now);
+    this.#refill(now);
     return this.#tokens;
   }
 
-  #fill(now: number): void {
-    const elapsed = Math.max(0, now - this.#filledAt);
-    this.#filledAt = Math.max(now, this.#filledAt);
+  #refill(now: number): void {
+    const elapsed = Math.max(0, now - this.#refilledAt);
+    this.#refilledAt = Math.max(now, this.#refilledAt);
     const gained = elapsed / MS_PER_S * this.#size.ratePerS;
     this.#tokens = Math.min(this.#size.burst, this.#tokens + gained);
   }
--- a/src/decisions/quotas/account_quotas.ts
+++ b/src/decisions/quotas/account_quotas.ts
@@ -1,5 +1,5 @@
 /**
- * Admission by a client account's rate and burst over the whole fleet.
+ * Admission control by a client account's fleet-wide rate and burst.
  *
  * @module
  */
@@ -19,20 +19,19 @@
   type RateLimit,
   rateLimit,
   type RateWindow,
-  tolerated,
+  toleratedPerWindow,
 } from "./rate_limit.ts";
 import { ReturnSchedule } from "../limits/return_schedule.ts";
 
-/** Maximum Retry-After, in milliseconds. */
-const LONGEST_RETRY_MS = 2_000;
+const MAX_RETRY_AFTER_MS = 2_000;
 /**
- * Part of the tolerance used as overdraft by all instances together. The rest
- * covers what is spent before a partition is noticed.
+ * Fraction of the tolerance that all instances together use as overdraft. The
+ * rest covers what is spent before a partition is detected.
  */
-const AHEAD_PART = 0.6;
+const OVERDRAFT_FRACTION = 0.6;
 const MS_PER_S = 1_000;
 
-/** Whether a request is within its account's rate. */
+/** Result of admission: `share` is this instance's share of the rate. */
 export type Admission =
   | { readonly admitted: true; readonly share: number }
   | {
@@ -44,41 +43,41 @@
 interface Row {
   account: Account;
   limit: RateLimit;
-  /** Requests a window that are tolerated beyond the limit. */
-  tolerated: number;
+  /** Requests per window that are tolerated above the limit. */
+  toleratedPerWindow: number;
   readonly bucket: FleetBucket;
-  readonly returns: ReturnSchedule;
-  /** The rate as computed last, and in which division of the demand. */
+  readonly retryAfter: ReturnSchedule;
+  /** The cached rate, and the version of the demand shares it is based on. */
   rate: FleetRate | undefined;
-  ratedIn: number;
-  /** Tick and round of reports of the last rebalance. */
-  balancedIn: number;
-  reportedIn: number;
+  rateVersion: number;
+  /** Tick and report round of the last rebalance. */
+  rebalancedTick: number;
+  reportRound: number;
 }
 
-/** What quotas go by. */
+/** Options of {@link AccountQuotas}. */
 export interface AccountQuotasOptions {
-  /** Instances that may spend, this one included. */
+  /** Instances that may admit requests, this one included. */
   readonly fleetSize: () => number;
-  /** How old peers' reports may be, in milliseconds. */
+  /** Maximum age of peers' reports. */
   readonly gossipDelayMs?: () => number;
-  /** How rates are judged, if by a window. */
+  /** Accounting window of the platform; none by default. */
   readonly window?: RateWindow;
 }
 
-/** Buckets of one instance. */
+/** Token buckets of all accounts at one instance. */
 export class AccountQuotas {
-  /** What the fleet is asked for; kept up to date by the quotas. */
+  /** Demand of the fleet, updated by this class. */
   readonly demand: FleetDemand;
   readonly #rows = new Map<AccountId, Row>();
   readonly #fleetSize: () => number;
   readonly #gossipDelayMs: () => number;
   readonly #window: RateWindow;
-  /** Peers that reported in this round. */
-  readonly #heard = new Set<InstanceId>();
+  /** Peers that have reported in the current round. */
+  readonly #reported = new Set<InstanceId>();
   #ticks = 0;
-  /** Rounds in which all that may spend have reported. */
-  #rounds = 0;
+  /** Completed rounds, in each of which all peers reported. */
+  #reportRounds = 0;
 
   constructor(own: InstanceId, opts: AccountQuotasOptions) {
     this.demand = new FleetDemand(own, opts.fleetSize);
@@ -87,7 +86,7 @@
     this.#window = opts.window ?? NO_WINDOW;
   }
 
-  /** Adopts the accounts of a plan; buckets of known ones are kept. */
+  /** Applies the accounts of a plan; existing buckets are kept. */
   adopt(accounts: readonly Account[], now: number): void {
     const kept = new Set(accounts.map((a) => a.id));
     for (const id of this.#rows.keys()) {
@@ -101,7 +100,7 @@
   }
 
   /**
-   * Spends one request of an account.
+   * Admits or refuses one request of an account.
    *
    * @example
    * ```ts
@@ -111,40 +110,40 @@
    */
   take(account: Account, now: number): Admission {
     if (account.ratePerS <= 0) return { admitted: true, share: 1 };
-    this.demand.asked(account.id, now);
+    this.demand.recordRequest(account.id, now);
     const row = this.#rows.get(account.id) ?? this.#add(account, now);
-    const rate = this.#rebalanced(row, now);
+    const rate = this.#rebalancedRate(row, now);
     const { share } = rate;
     if (row.bucket.take(rate, now)) return { admitted: true, share };
     const firstMs = row.bucket.waitMs(rate);
     const everyMs = MS_PER_S / Math.max(1e-3, rate.ratePerS * share);
-    const retryAfterMs = row.returns.next(now, firstMs, everyMs);
+    const retryAfterMs = row.retryAfter.next(now, firstMs, everyMs);
     return { admitted: false, share, retryAfterMs };
   }
 
   /**
-   * Rebalances buckets, and gives what to report: accounts without demand are
-   * left out.
+   * Rebalances the buckets of accounts with demand, and returns their usage for
+   * the report to peers.
    *
-   * Load: most accounts of a plan are idle at most instances. A bucket without
-   * demand is rebalanced at its next request, so a tick costs what is in use.
+   * Load: most accounts of a plan are idle at most instances. An idle bucket is
+   * rebalanced at its next request, so a tick costs only the active accounts.
    */
   tick(now: number): Map<RatedId, RateUse> {
     const demand = this.demand.tick(now);
     this.#ticks++;
-    if (this.#allReported()) this.#rounds++;
+    if (this.#allReported()) this.#reportRounds++;
     const uses = new Map<RatedId, RateUse>();
     for (const [id, perS] of demand) {
       const row = this.#rows.get(id as AccountId);
       if (row === undefined || row.account.ratePerS <= 0) continue;
-      const rate = this.#rebalanced(row, now);
+      const rate = this.#rebalancedRate(row, now);
       const { admitted } = row.bucket;
       uses.set(id, { perS, admitted, level: row.bucket.level(rate, now) });
     }
     return uses;
   }
 
-  /** Applies a report of another instance, or of a zone as one. */
+  /** Applies a report of another instance or group. */
   reported(
     from: Reporter,
     uses: ReadonlyMap<RatedId, RateUse>,
@@ -152,94 +151,97 @@
   ): void {
     const { instance, start } = from;
     this.demand.reported(from, uses);
-    this.#heard.add(instance);
+    this.#reported.add(instance);
     for (const [id, { admitted, level }] of uses) {
       const row = this.#rows.get(id as AccountId);
       if (row === undefined) continue;
       const rate = this.#rate(row);
-      row.bucket.hear({ instance, start, admitted, level }, rate, now);
+      row.bucket.applyReport({ instance, start, admitted, level }, rate, now);
     }
   }
 
-  /** What is reserved for unreachable instances, by group. */
+  /** Shares reserved for unreachable instances, by group. */
   get reservations(): readonly Reservation[] {
     return this.demand.shares.reservations;
   }
 
-  /** An instance has ended. */
+  /** Removes an instance that has ended. */
   forget(instance: InstanceId): void {
     this.demand.shares.forget(instance);
   }
 
-  /** An instance is unreachable. */
+  /** Reserves the share of an instance that became unreachable. */
   unreachable(instance: InstanceId): void {
     this.demand.shares.unreachable(instance);
-    for (const { bucket } of this.#rows.values()) bucket.unreachable(instance);
+    for (const { bucket } of this.#rows.values()) bucket.resetPeer(instance);
   }
 
   #add(account: Account, now: number): Row {
     const row: Row = {
       ...this.#limitsOf(account),
       bucket: new FleetBucket(now),
-      returns: new ReturnSchedule(LONGEST_RETRY_MS),
+      retryAfter: new ReturnSchedule(MAX_RETRY_AFTER_MS),
       rate: undefined,
-      ratedIn: 0,
-      balancedIn: this.#ticks,
-      reportedIn: this.#rounds,
+      rateVersion: 0,
+      rebalancedTick: this.#ticks,
+      reportRound: this.#reportRounds,
     };
     this.#rows.set(account.id, row);
     return row;
   }
 
-  #limitsOf(account: Account): Pick<Row, "account" | "limit" | "tolerated"> {
+  #limitsOf(
+    account: Account,
+  ): Pick<Row, "account" | "limit" | "toleratedPerWindow"> {
     return {
       account,
       limit: rateLimit(account, this.#window),
-      tolerated: tolerated(account, this.#window),
+      toleratedPerWindow: toleratedPerWindow(account, this.#window),
     };
   }
 
-  /** Whether all that may spend reported in this round; begins the next. */
+  /** Whether all peers reported in this round; if so, starts the next. */
   #allReported(): boolean {
-    const { allKnown, others } = this.demand.shares;
-    if (!allKnown || !others.every((id) => this.#heard.has(id))) return false;
-    this.#heard.clear();
+    const { complete, peers } = this.demand.shares;
+    if (!complete || !peers.every((id) => this.#reported.has(id))) return false;
+    this.#reported.clear();
     return true;
   }
 
-  /** The rate of a row, once its bucket has been rebalanced in this tick. */
-  #rebalanced(row: Row, now: number): FleetRate {
+  /** Rebalances a row's bucket, once a tick, and returns its rate. */
+  #rebalancedRate(row: Row, now: number): FleetRate {
     const rate = this.#rate(row);
-    if (row.balancedIn === this.#ticks) return rate;
-    const allReported = row.reportedIn !== this.#rounds;
+    if (row.rebalancedTick === this.#ticks) return rate;
+    const allReported = row.reportRound !== this.#reportRounds;
     row.bucket.rebalance(rate, allReported, now);
-    row.balancedIn = this.#ticks;
-    row.reportedIn = this.#rounds;
+    row.rebalancedTick = this.#ticks;
+    row.reportRound = this.#reportRounds;
     return rate;
   }
 
   /**
-   * The rate of a row. Load: each digest touches every account; without the
-   * cache rates are a third of the cost of digests.
+   * The cached rate of a row. Load: each digest touches every account; without
+   * the cache, computing rates is a third of the cost of a digest.
    */
   #rate(row: Row): FleetRate {
-    const { divisions } = this.demand.shares;
-    if (row.rate === undefined || row.ratedIn !== divisions) {
+    const { version } = this.demand.shares;
+    if (row.rate === undefined || row.rateVersion !== version) {
       row.rate = this.#computeRate(row);
-      // Computing it may have divided the demand first.
-      row.ratedIn = this.demand.shares.divisions;
+      // Computing the rate may itself have recomputed the shares.
+      row.rateVersion = this.demand.shares.version;
     }
     return row.rate;
   }
 
-  #computeRate({ account: { id }, limit, tolerated }: Row): FleetRate {
+  #computeRate({ account: { id }, limit, toleratedPerWindow }: Row): FleetRate {
     return {
       ...limit,
-      ahead: tolerated * AHEAD_PART / Math.max(1, this.#fleetSize()),
+      overdraft: toleratedPerWindow * OVERDRAFT_FRACTION /
+        Math.max(1, this.#fleetSize()),
       share: this.demand.shares.own(id),
       reserved: this.demand.shares.reserved(id),
-      allKnown: this.demand.shares.allKnown,
-      othersPerS: this.demand.shares.othersPerS(id),
+      complete: this.demand.shares.complete,
+      peersPerS: this.demand.shares.peersPerS(id),
       gossipDelayMs: this.#gossipDelayMs(),
     };
   }
--- a/src/decisions/quotas/account_quotas_test.ts
+++ b/src/decisions/quotas/account_quotas_test.ts
@@ -9,136 +9,138 @@
   QuotaFleet,
   type QuotaMember,
   SUSPECT_AFTER_MS,
-  ZONE_MAIL_MS,
+  ZONE_GOSSIP_DELAY_MS,
 } from "./testing/quota_fleet.ts";
 
-/** Random runs for each size of account. */
+/** Property-test runs for each account size. */
 const RUNS = 60;
-/** How long a killed instance is away, in milliseconds. */
-const DOWN_MS = 700;
+/** Downtime of a killed instance. */
+const DOWNTIME_MS = 700;
 
-test("an account within its rate is refused nowhere, though its requests lie unevenly", (t) => {
-  // Callers choose their instance, so some instances get several times the
-  // requests of others. Were each held to an equal part, callers of the busy
-  // ones would be refused though the account is well within its rate.
+test("an account within its rate is admitted although its requests are spread unevenly", (t) => {
+  // Callers choose their instance, so some get several times the requests of
+  // others. Guards against equal shares, with which busy instances refuse
+  // requests of an account that is well within its rate.
   const subject = account();
   const fleet = new QuotaFleet(12, subject);
   const perS = ({ id }: QuotaMember) =>
     id === "i0" ? 30 : id === "i1" ? 15 : 1.5;
   fleet.run(5_000, perS);
-  const askedBefore = fleet.asked;
-  const passed = fleet.run(10_000, perS);
-  const asked = fleet.asked - askedBefore;
-  t.true(passed >= asked * 0.995, `${passed} of ${asked} passed`);
+  const requestsBefore = fleet.requests;
+  const admitted = fleet.run(10_000, perS);
+  const requests = fleet.requests - requestsBefore;
+  t.true(admitted >= requests * 0.995, `${admitted} of ${requests} admitted`);
 });
 
-test("a small account's burst is at hand at whichever instance it turns up", (t) => {
-  // An account with eight requests a second over twelve instances has less
-  // than one token at each. Its callers would be refused at random.
+test("a small account's burst is available at every instance", (t) => {
+  // Eight requests a second over twelve instances is less than one token at
+  // each. Guards against random refusals of such an account.
   const subject = account({ ratePerS: 8, burst: 8 });
   const fleet = new QuotaFleet(12, subject, 2);
   fleet.run(5_000, () => 0.4);
-  const askedBefore = fleet.asked;
-  const passed = fleet.run(30_000, () => 0.4);
-  const asked = fleet.asked - askedBefore;
-  t.true(passed >= asked * 0.97, `${passed} of ${asked} passed`);
+  const requestsBefore = fleet.requests;
+  const admitted = fleet.run(30_000, () => 0.4);
+  const requests = fleet.requests - requestsBefore;
+  t.true(admitted >= requests * 0.97, `${admitted} of ${requests} admitted`);
 });
 
-test("an account that sends several times its rate gets its rate and little more", (t) => {
-  // One account's callers send almost five times its rate, all at once. The
-  // instances know of each other's admissions a quarter of a second late.
+test("an account far above its rate is admitted at its rate and within the tolerance", (t) => {
+  // Demand jumps to almost five times the rate, while instances receive each
+  // other's admissions a quarter of a second late.
   const subject = account();
   const fleet = new QuotaFleet(12, subject, 3);
   fleet.run(10_000, () => 5);
   fleet.run(10_000, () => 40);
   t.true(fleet.mostWithin(5_000) <= bound(subject));
-  const passed = fleet.run(10_000, () => 40);
-  t.true(passed >= 0.9 * 100 * 10, `${passed} of 1000 owed`);
+  const admitted = fleet.run(10_000, () => 40);
+  t.true(admitted >= 0.9 * 100 * 10, `${admitted} of 1000 within the rate`);
 });
 
-/** Requests that pass in 20 s at 1.7 times an account's rate. */
-function passedBeyond(subject: Account): { passed: number; most: number } {
+/** Admissions in 20 s of demand at 1.7 times an account's rate. */
+function admittedAboveRate(
+  subject: Account,
+): { admitted: number; most: number } {
   const fleet = new QuotaFleet(9, subject, 8);
   const perS = () => subject.ratePerS * 1.7 / 9;
   fleet.run(6_000, perS);
-  const passed = fleet.run(20_000, perS);
-  return { passed, most: fleet.mostWithin(5_000) };
+  const admitted = fleet.run(20_000, perS);
+  return { admitted, most: fleet.mostWithin(5_000) };
 }
 
-test("a large account beyond its rate gets what each window allows", (t) => {
-  // In every five seconds it may send its rate and its burst. Filled at the
-  // rate alone, the fleet's bucket would refuse a sixth of that.
+test("a large account above its rate gets what each window allows", (t) => {
+  // Every five seconds allow the rate plus the burst. Guards against a bucket
+  // that refills at the rate alone, which would refuse a sixth of that.
   const subject = account({ ratePerS: 388, burst: 388 });
-  const { passed, most } = passedBeyond(subject);
+  const { admitted, most } = admittedAboveRate(subject);
   const allowed = 4 * (5 * 388 + 388);
-  t.true(passed >= 0.97 * allowed, `${passed} of ${allowed}`);
+  t.true(admitted >= 0.97 * allowed, `${admitted} of ${allowed}`);
   t.true(most <= bound(subject), `${most} of ${bound(subject)}`);
 });
 
 for (const ratePerS of [88, 17]) {
-  test(`an account of ${ratePerS} a second beyond its rate gets more than the rate`, (t) => {
-    // With a token or two at each instance, some lie at instances without
-    // requests. The account must still get its whole rate.
+  test(`an account of ${ratePerS} a second above its rate gets at least its rate`, (t) => {
+    // Guards against losing rate to tokens at instances without requests, when
+    // each instance has only a token or two.
     const subject = account({ ratePerS, burst: ratePerS });
-    const { passed, most } = passedBeyond(subject);
-    t.true(passed >= 20 * ratePerS, `${passed} of ${20 * ratePerS}`);
+    const { admitted, most } = admittedAboveRate(subject);
+    t.true(admitted >= 20 * ratePerS, `${admitted} of ${20 * ratePerS}`);
     t.true(most <= bound(subject), `${most} of ${bound(subject)}`);
   });
 }
 
-test("an account that turns up at one instance after another is served there", (t) => {
-  // Half of an account's requests go to one instance, each second another: its
-  // callers move. Its share is known there only with the next digests.
+test("an account whose busiest instance changes every second is admitted", (t) => {
+  // Half of the requests go to one instance, a different one each second.
+  // Guards against refusals there until the next digests update its share.
   const subject = account({ ratePerS: 88, burst: 88 });
   const fleet = new QuotaFleet(12, subject, 9);
   fleet.run(6_000, () => 88 / 1.6 / 12);
-  const askedBefore = fleet.asked;
-  let passed = 0;
+  const requestsBefore = fleet.requests;
+  let admitted = 0;
   for (let second = 0; second < 20; second++) {
     const busy = `i${second % 12}`;
     const perS = ({ id }: QuotaMember) =>
       88 / 1.6 * (id === busy ? 0.5 : 0.5 / 11);
-    passed += fleet.run(1_000, perS);
+    admitted += fleet.run(1_000, perS);
   }
-  const asked = fleet.asked - askedBefore;
-  t.true(passed >= asked * 0.97, `${passed} of ${asked} passed`);
+  const requests = fleet.requests - requestsBefore;
+  t.true(admitted >= requests * 0.97, `${admitted} of ${requests} admitted`);
 });
 
 for (const ratePerS of [400, 60, 12]) {
-  test(`told by zone, an account of ${ratePerS} a second keeps to its rate`, (t) => {
-    // 78 instances know of each other's admissions most of a second late, and
-    // the account begins to send five times its rate at all of them.
+  test(`with zone aggregates an account of ${ratePerS} a second is held to its rate`, (t) => {
+    // 78 instances receive each other's admissions 400 ms late, and the account
+    // begins to send almost five times its rate across all of them.
     const subject = account({ ratePerS, burst: ratePerS });
-    const fleet = new QuotaFleet(78, subject, 4, ZONE_MAIL_MS);
-    const calm = () => ratePerS / 1.6 / 78;
-    fleet.run(5_000, calm);
-    const askedBefore = fleet.asked;
-    const passed = fleet.run(8_000, calm);
-    const asked = fleet.asked - askedBefore;
-    t.true(passed >= asked * 0.75, `${passed} of ${asked} passed`);
+    const fleet = new QuotaFleet(78, subject, 4, ZONE_GOSSIP_DELAY_MS);
+    const normalPerS = () => ratePerS / 1.6 / 78;
+    fleet.run(5_000, normalPerS);
+    const requestsBefore = fleet.requests;
+    const admitted = fleet.run(8_000, normalPerS);
+    const requests = fleet.requests - requestsBefore;
+    t.true(admitted >= requests * 0.75, `${admitted} of ${requests} admitted`);
     fleet.run(7_000, () => ratePerS * 4.7 / 78);
     const most = fleet.mostWithin(5_000);
     t.true(most <= bound(subject), `${most} of ${bound(subject)}`);
   });
 }
 
-test("instances that are cut off do not spend the rate a second time", (t) => {
-  // A third of the instances are cut off from the others while callers reach
-  // both sides, and the account begins to send five times its rate. Each side
-  // must keep to what it had, or the account gets its rate twice.
+test("partitioned instances do not spend the rate a second time", (t) => {
+  // A third of the instances are partitioned from the others, callers reach
+  // both sides, and demand rises to five times the rate. Each side must stay
+  // within its previous share, or the account gets its rate twice.
   const subject = account({ ratePerS: 388, burst: 388 });
   const fleet = new QuotaFleet(12, subject, 4);
   fleet.run(10_000, () => 20);
   fleet.cut(fleet.members.slice(0, 4));
   fleet.run(SUSPECT_AFTER_MS, () => 160);
-  fleet.noticeCut();
+  fleet.detectCut();
   fleet.run(10_000, () => 160);
   t.true(fleet.mostWithin(5_000) <= bound(subject));
 });
 
-test("instances that all start anew do not hand out the burst again", (t) => {
-  // All processes are killed at once while an account spends all it may. Fresh
-  // instances know nothing of what was spent a second ago.
+test("a restart of all instances does not grant the burst again", (t) => {
+  // All processes are killed at once while an account is at its limit. Guards
+  // against restarted instances that ignore what was spent just before.
   const subject = account({ ratePerS: 388, burst: 388 });
   const fleet = new QuotaFleet(12, subject, 5);
   fleet.run(10_000, () => 160);
@@ -147,9 +149,9 @@
   t.true(fleet.mostWithin(5_000) <= bound(subject));
 });
 
-test("after all start anew nine in ten requests of an account within its rate pass", (t) => {
-  // All processes lose power and are back within a second. Their callers come
-  // back as before, and find instances without a token of any account.
+test("after a restart of all instances 90% of requests within the rate are admitted", (t) => {
+  // All instances are down for less than a second, and callers return at once.
+  // Guards against buckets that are empty after the restart.
   for (const ratePerS of [388, 60, 12]) {
     const subject = account({ ratePerS, burst: ratePerS });
     const fleet = new QuotaFleet(12, subject, 7);
@@ -157,29 +159,32 @@
     fleet.run(10_000, perS);
     fleet.run(600, () => 0);
     for (const member of fleet.members) fleet.restart(member);
-    const askedBefore = fleet.asked;
-    const passed = fleet.run(2_000, perS);
-    const asked = fleet.asked - askedBefore;
-    t.true(passed >= asked * 0.9, `${ratePerS}: ${passed} of ${asked}`);
+    const requestsBefore = fleet.requests;
+    const admitted = fleet.run(2_000, perS);
+    const requests = fleet.requests - requestsBefore;
+    t.true(
+      admitted >= requests * 0.9,
+      `${ratePerS}: ${admitted} of ${requests}`,
+    );
   }
 });
 
-test("one instance that starts anew serves an account within its rate at once", (t) => {
-  // A restarted instance begins without tokens. It learns from the others that
-  // the account has not used its burst, and need not refuse its first callers.
+test("a restarted instance admits an account within its rate at once", (t) => {
+  // Guards against a restarted instance that refuses its first callers although
+  // peers report that the account has not used its burst.
   const subject = account();
   const fleet = new QuotaFleet(12, subject, 6);
   fleet.run(10_000, () => 5);
   const [first] = fleet.members;
   if (first !== undefined) fleet.restart(first);
-  const askedBefore = fleet.asked;
-  const passed = fleet.run(5_000, () => 5);
-  const asked = fleet.asked - askedBefore;
-  t.true(passed >= asked - 5, `${passed} of ${asked} passed`);
+  const requestsBefore = fleet.requests;
+  const admitted = fleet.run(5_000, () => 5);
+  const requests = fleet.requests - requestsBefore;
+  t.true(admitted >= requests - 5, `${admitted} of ${requests} admitted`);
 });
 
-test("callers that are refused are told times of their own", (t) => {
-  // Told the same time, all would come back together and find one token.
+test("each refused caller gets a different Retry-After", (t) => {
+  // Guards against callers that all retry at the same time and find one token.
   const subject = account({ ratePerS: 10, burst: 1 });
   const quotas = new AccountQuotas("i0" as InstanceId, { fleetSize: () => 1 });
   quotas.adopt([subject], 0);
@@ -194,11 +199,11 @@
   }
 });
 
-// Guards against digests that cost each instance work on all accounts anew.
-test("a digest does not have rates worked out again", (t) => {
-  let asked = 0;
+// Guards against digests that recompute the rates of all accounts.
+test("a digest does not recompute rates", (t) => {
+  let calls = 0;
   const fleetSize = () => {
-    asked++;
+    calls++;
     return 200;
   };
   const accounts = Array.from(
@@ -209,20 +214,20 @@
   quotas.adopt(accounts, 0);
   const use = { perS: 1, admitted: 1, level: 1 };
   const uses = new Map(accounts.map(({ id }) => [id, use]));
-  const tell = (i: number) =>
+  const report = (i: number) =>
     quotas.reported({ instance: `i${i}` as InstanceId, start: "s" }, uses, i);
-  tell(1);
+  report(1);
   quotas.tick(1);
-  asked = 0;
-  for (let i = 2; i < 100; i++) tell(i);
-  t.true(asked <= accounts.length, `${asked} times`);
+  calls = 0;
+  for (let i = 2; i < 100; i++) report(i);
+  t.true(calls <= accounts.length, `${calls} times`);
 });
 
-// Guards against ticks that cost each instance work on all accounts of a plan.
-test("a tick works out the rates of accounts in use only", (t) => {
-  let asked = 0;
+// Guards against ticks that recompute the rates of all accounts of a plan.
+test("a tick computes only the rates of accounts with demand", (t) => {
+  let calls = 0;
   const fleetSize = () => {
-    asked++;
+    calls++;
     return 12;
   };
   const accounts = Array.from(
@@ -234,21 +239,21 @@
   const [used] = accounts;
   t.truthy(used);
   if (used !== undefined) quotas.take(used, 0);
-  asked = 0;
+  calls = 0;
   const ticks = 4;
   for (let i = 1; i <= ticks; i++) t.is(quotas.tick(i * 250).size, 1);
-  // Once for the division of demand, once for the account's rate.
-  t.true(asked <= 2 * ticks, `${asked} times`);
+  // Once for the demand shares, once for the account's rate.
+  t.true(calls <= 2 * ticks, `${calls} times`);
 });
 
-/** What may happen to a fleet and to an account's demand. */
-type Happening =
+/** Faults of the fleet and changes of an account's demand. */
+type FleetEvent =
   | { readonly kind: "demand"; readonly times: number; readonly hot: number }
   | { readonly kind: "cut"; readonly count: number }
   | { readonly kind: "heal" }
   | { readonly kind: "kill"; readonly count: number };
 
-const HAPPENINGS: fc.Arbitrary<Happening> = fc.oneof(
+const EVENTS: fc.Arbitrary<FleetEvent> = fc.oneof(
   fc.record({
     kind: fc.constant("demand" as const),
     times: fc.double({ min: 0, max: 6, noNaN: true }),
@@ -265,9 +270,9 @@
   }),
 );
 
-/** Plays what happens, a second or two apart; gives the most of any window. */
-function mostAfter(
-  happenings: readonly Happening[],
+/** Applies events 1.5 s apart; returns the maximum admitted in any window. */
+function maxAfter(
+  events: readonly FleetEvent[],
   subject: Account,
   seed: number,
 ): number {
@@ -278,23 +283,23 @@
   const perS = ({ id }: QuotaMember) =>
     subject.ratePerS * times * (id === `i${hot}` ? 0.33 : 0.67 / 11);
   fleet.run(6_000, perS);
-  for (const happening of happenings) {
-    switch (happening.kind) {
+  for (const event of events) {
+    switch (event.kind) {
       case "demand":
-        ({ times, hot } = happening);
+        ({ times, hot } = event);
         break;
       case "cut":
-        fleet.cut(fleet.members.slice(0, happening.count));
+        fleet.cut(fleet.members.slice(0, event.count));
         fleet.run(SUSPECT_AFTER_MS, perS);
-        fleet.noticeCut();
+        fleet.detectCut();
         break;
       case "heal":
         fleet.heal();
         break;
       case "kill":
-        // An instance takes a while to be back, and its callers go elsewhere.
-        fleet.run(DOWN_MS, (m) => isKilled(fleet, m, happening) ? 0 : perS(m));
-        for (const member of fleet.members.slice(-happening.count)) {
+        // A killed instance gets no requests during its downtime.
+        fleet.run(DOWNTIME_MS, (m) => isKilled(fleet, m, event) ? 0 : perS(m));
+        for (const member of fleet.members.slice(-event.count)) {
           fleet.restart(member);
         }
         break;
@@ -312,19 +317,19 @@
   return fleet.members.indexOf(member) >= fleet.members.length - count;
 }
 
-/** Runs that once passed the limit, by what was wrong. */
-const PASSED_ONCE: readonly {
-  readonly why: string;
+/** Past runs that exceeded the limit, and the fault behind each. */
+const REGRESSIONS: readonly {
+  readonly fault: string;
   readonly ratePerS: number;
   readonly seed: number;
-  readonly happenings: readonly Happening[];
+  readonly events: readonly FleetEvent[];
 }[] = [
   {
-    why:
-      "alone after a restart, an instance gave its part of a level again and again that only it spent from",
+    fault:
+      "after a restart, an isolated instance kept refilling its own tokens from a level that only its own spending lowered",
     ratePerS: 88,
     seed: 697,
-    happenings: [
+    events: [
       { kind: "cut", count: 4 },
       { kind: "cut", count: 2 },
       { kind: "kill", count: 11 },
@@ -334,11 +339,11 @@
     ],
   },
   {
-    why:
-      "instances that started anew shared a rate of which two they never heard held a third",
+    fault:
+      "restarted instances divided a rate of which two unreported instances held a third",
     ratePerS: 388,
     seed: 259,
-    happenings: [
+    events: [
       { kind: "cut", count: 2 },
       { kind: "demand", times: 2.5762412444680356, hot: 0 },
       { kind: "kill", count: 10 },
@@ -348,26 +353,25 @@
   },
 ];
 
-for (const { why, ratePerS, seed, happenings } of PASSED_ONCE) {
-  test(`no window passes the limit any more: ${why}`, (t) => {
+for (const { fault, ratePerS, seed, events } of REGRESSIONS) {
+  test(`no window exceeds the limit: ${fault}`, (t) => {
     const subject = account({ ratePerS, burst: ratePerS });
-    const most = mostAfter(happenings, subject, seed);
+    const most = maxAfter(events, subject, seed);
     t.true(most <= bound(subject), `${most} of ${bound(subject)}`);
   });
 }
 
-test("whatever is cut off, killed or moved, no window passes the limit", (t) => {
-  // Instances are cut off, heal, die and start anew in any order while an
-  // account's demand jumps between nothing and six times its rate and from one
-  // instance to another. It must never get more than the platform tolerates.
+test("no window exceeds the limit under random partitions, kills and demand changes", (t) => {
+  // Partitions, heals, kills and restarts occur in any order while demand jumps
+  // between zero and six times the rate and from instance to instance. Guards
+  // against admitting more than the platform tolerates.
   for (const ratePerS of [388, 88, 17]) {
     const subject = account({ ratePerS, burst: ratePerS });
     fc.assert(
       fc.property(
-        fc.array(HAPPENINGS, { minLength: 1, maxLength: 6 }),
+        fc.array(EVENTS, { minLength: 1, maxLength: 6 }),
         fc.integer({ min: 1, max: 1_000 }),
-        (happenings, seed) =>
-          mostAfter(happenings, subject, seed) <= bound(subject),
+        (events, seed) => maxAfter(events, subject, seed) <= bound(subject),
       ),
       { numRuns: RUNS, seed: 7 },
     );
--- a/src/decisions/quotas/demand_counter.ts
+++ b/src/decisions/quotas/demand_counter.ts
@@ -1,46 +1,46 @@
 /**
- * How many requests of each client account, and for each endpoint with a limit,
- * an instance is asked for.
+ * Measures an instance's request rate for each client account and each endpoint
+ * with a rate limit.
  *
  * @module
  */
-import { FadingRate } from "./fading_rate.ts";
+import { EwmaRate } from "./ewma_rate.ts";
 import type { RatedId } from "./fleet_demand.ts";
 
 /**
- * How fast the mean follows, in milliseconds: fast enough that shares follow a
- * move of callers within a second, slow enough that single requests of small
- * accounts do not move them.
+ * Time constant of the moving average: short enough that shares follow callers
+ * that switch instances within a second, long enough that single requests of
+ * small accounts do not change them.
  */
-const MEMORY_MS = 1_000;
-/** Below this an account is left out, in requests a second. */
-const NEGLIGIBLE = 0.05;
+const TIME_CONSTANT_MS = 1_000;
+/** An account with a lower rate is dropped. */
+const NEGLIGIBLE_PER_S = 0.05;
 
-/** Exponentially weighted rates by account. */
+/** Exponentially weighted moving average rates, by account or endpoint. */
 export class DemandCounter {
-  readonly #counts = new Map<RatedId, FadingRate>();
+  readonly #rates = new Map<RatedId, EwmaRate>();
 
   /** Counts one request. */
-  asked(account: RatedId, now: number): void {
-    let count = this.#counts.get(account);
-    if (count === undefined) {
-      count = new FadingRate(MEMORY_MS);
-      this.#counts.set(account, count);
+  recordRequest(id: RatedId, now: number): void {
+    let rate = this.#rates.get(id);
+    if (rate === undefined) {
+      rate = new EwmaRate(TIME_CONSTANT_MS);
+      this.#rates.set(id, rate);
     }
-    count.add(now);
+    rate.add(now);
   }
 
   /** Requests a second of one account or endpoint. */
   rate(id: RatedId, now: number): number {
-    return this.#counts.get(id)?.perS(now) ?? 0;
+    return this.#rates.get(id)?.perS(now) ?? 0;
   }
 
-  /** Requests a second by account, those without any left out. */
+  /** Requests a second of all ids with demand; drops those without. */
   rates(now: number): Map<RatedId, number> {
     const rates = new Map<RatedId, number>();
-    for (const [account, count] of this.#counts) {
+    for (const [account, count] of this.#rates) {
       const perS = count.perS(now);
-      if (perS < NEGLIGIBLE) this.#counts.delete(account);
+      if (perS < NEGLIGIBLE_PER_S) this.#rates.delete(account);
       else rates.set(account, perS);
     }
     return rates;
--- a/src/decisions/quotas/demand_shares_test.ts
+++ b/src/decisions/quotas/demand_shares_test.ts
@@ -11,33 +11,36 @@
 }
 
 /** Requests a second at an instance, unevenly spread. */
-function asked(zone: number, index: number): number {
+function demandAt(zone: number, index: number): number {
   return index === 0 ? 10 + zone : 0.1 * index;
 }
 
 function zoneSum(zone: number): number {
   let sum = 0;
-  for (let i = 0; i < PER_ZONE; i++) sum += asked(zone, i);
+  for (let i = 0; i < PER_ZONE; i++) sum += demandAt(zone, i);
   return sum;
 }
 
-/** Shares as an instance sees them that hears its zone one by one. */
+/** Shares at an instance that gets its own zone's reports one by one. */
 function sharesAt(zone: number, index: number): DemandShares {
   const own = `${zone}-${index}` as InstanceId;
   const shares = new DemandShares(own, () => ZONES * PER_ZONE);
-  // Twice: what is told is kept with the division of that moment.
+  // Two rounds, so that more than one snapshot is kept.
   for (let round = 0; round < 2; round++) {
     for (let i = 0; i < PER_ZONE; i++) {
       if (i === index) continue;
-      shares.reported(`${zone}-${i}` as InstanceId, demandOf(asked(zone, i)));
+      shares.applyReport(
+        `${zone}-${i}` as InstanceId,
+        demandOf(demandAt(zone, i)),
+      );
     }
     for (let z = 0; z < ZONES; z++) {
       if (z === zone) continue;
-      shares.reported(`zone ${z}` as InstanceId, demandOf(zoneSum(z)), {
+      shares.applyReport(`zone ${z}` as InstanceId, demandOf(zoneSum(z)), {
         instances: PER_ZONE,
       });
     }
-    shares.tick(demandOf(asked(zone, index)));
+    shares.tick(demandOf(demandAt(zone, index)));
   }
   return shares;
 }
@@ -54,16 +57,15 @@
   return sum;
 }
 
-test("shares of instances that hear other zones as wholes add up to the rate", (t) => {
-  // Each works its share out from other numbers: its zone one by one, the
-  // others summed. Were a zone taken for one instance, the floors that all hold
-  // would add up to several rates.
+test("shares sum to the rate when other zones report as aggregates", (t) => {
+  // Guards against a zone's aggregate that counts as one instance: the equal
+  // shares of all instances would then sum to several times the rate.
   const sum = sumOfShares(() => {});
   t.true(Math.abs(sum - 1) < 1e-9, `${sum}`);
 });
 
-test("the share of a zone that is not heard stays set aside", (t) => {
-  // A zone is cut off and spends on. What the others divide leaves its share.
+test("the share of an unreachable zone stays reserved", (t) => {
+  // Guards against dividing the share of a partitioned zone that still spends.
   const unreachable = "zone 5" as InstanceId;
   const sum = sumOfShares((shares, zone) => {
     if (zone !== 5) shares.unreachable(unreachable);
--- a/src/decisions/quotas/demand_trend_test.ts
+++ b/src/decisions/quotas/demand_trend_test.ts
@@ -1,15 +1,15 @@
 import test from "ava";
 import { DemandTrend } from "./mod.ts";
 
-/** Requests at even distances. */
+/** Records evenly spaced requests. */
 function requests(
   trend: DemandTrend,
   { from, to, perS }: { from: number; to: number; perS: number },
 ): void {
-  for (let at = from; at < to; at += 1_000 / perS) trend.asked(at);
+  for (let at = from; at < to; at += 1_000 / perS) trend.recordRequest(at);
 }
 
-test("a burst shows within a quarter of a second", (t) => {
+test("growth is detected within 400 ms of a burst", (t) => {
   const trend = new DemandTrend();
   requests(trend, { from: 0, to: 10_000, perS: 9 });
   t.is(trend.growth(10_000), 1);
@@ -17,15 +17,15 @@
   t.true(trend.growth(10_400) > 1.8, `${trend.growth(10_400)}`);
 });
 
-// Guards against a chance run of requests that is taken for a burst.
-test("a few requests close together are no growth", (t) => {
+// Guards against random clusters of requests that are taken for a burst.
+test("three requests close together are not growth", (t) => {
   const trend = new DemandTrend();
   requests(trend, { from: 0, to: 10_000, perS: 2 });
-  for (const at of [10_000, 10_010, 10_020]) trend.asked(at);
+  for (const at of [10_000, 10_010, 10_020]) trend.recordRequest(at);
   t.is(trend.growth(10_020), 1);
 });
 
-test("once a higher demand is the usual one it is no growth", (t) => {
+test("a higher rate that persists becomes the baseline", (t) => {
   const trend = new DemandTrend();
   requests(trend, { from: 0, to: 5_000, perS: 9 });
   requests(trend, { from: 5_000, to: 17_000, perS: 36 });
--- /dev/null
+++ b/src/decisions/quotas/ewma_rate.ts
@@ -0,0 +1,31 @@
+/**
+ * An exponentially weighted moving average of an event rate.
+ *
+ * @module
+ */
+
+const MS_PER_S = 1_000;
+
+/** Event rate in which older events count for exponentially less. */
+export class EwmaRate {
+  readonly #timeConstantMs: number;
+  #perS = 0;
+  #updatedAt = 0;
+
+  /** @param timeConstantMs Age at which an event counts for 1/e of a new one. */
+  constructor(timeConstantMs: number) {
+    this.#timeConstantMs = timeConstantMs;
+  }
+
+  /** Counts one event. */
+  add(now: number): void {
+    this.#perS = this.perS(now) + MS_PER_S / this.#timeConstantMs;
+    this.#updatedAt = now;
+  }
+
+  /** Events a second. */
+  perS(now: number): number {
+    return this.#perS *
+      Math.exp(-Math.max(0, now - this.#updatedAt) / this.#timeConstantMs);
+  }
+}
--- a/src/decisions/quotas/fleet_bucket.ts
+++ b/src/decisions/quotas/fleet_bucket.ts
@@ -1,106 +1,106 @@
 /**
- * One account's token bucket over the whole fleet, as one instance keeps it.
+ * One instance's part of an account's fleet-wide token bucket.
  *
  * @module
  */
 import type { InstanceId } from "../../core/mod.ts";
 import type { RateLimit } from "./rate_limit.ts";
-import { WindowCount } from "./window_count.ts";
+import { SlidingWindowCounter } from "./sliding_window_counter.ts";
 
-/** An account's limit, and this instance's part in it. */
+/** An account's limit, and this instance's share of it. */
 export interface FleetRate extends RateLimit {
   /** This instance's share of the rate, in [0, 1]. */
   readonly share: number;
-  /** Part of the rate that unreachable instances may be spending. */
+  /** Fraction of the rate reserved for unreachable instances. */
   readonly reserved: number;
-  /** Whether each instance that may spend reported or has its share reserved. */
-  readonly allKnown: boolean;
+  /** Whether each instance has reported or has its share reserved. */
+  readonly complete: boolean;
   /** Requests a second at the peers, as last reported. */
-  readonly othersPerS: number;
-  /** How old peers' reports may be, in milliseconds. */
+  readonly peersPerS: number;
+  /** Maximum age of peers' reports. */
   readonly gossipDelayMs: number;
   /**
-   * Overdraft: tokens that this instance may spend beyond its own while the
-   * fleet has some, until all peers have reported.
+   * Tokens that this instance may spend beyond its own, while the fleet has
+   * tokens, until all peers have reported.
    */
-  readonly ahead: number;
+  readonly overdraft: number;
 }
 
-/** What an instance has admitted of an account. */
-export interface Admitted {
+/** An instance's report on one account. */
+export interface AdmissionReport {
   readonly instance: InstanceId;
-  /** Identifies the instance's start: counts restart with it. */
+  /** Identifies the instance's start: counters restart with it. */
   readonly start: string;
   /** Requests admitted since that start. */
   readonly admitted: number;
-  /** The fleet's remaining tokens as that instance knows them. */
+  /** That instance's estimate of the fleet's remaining tokens. */
   readonly level: number;
 }
 
 /**
- * Tokens that an instance can always hold: requests are whole, and shares of a
- * small burst are not.
+ * Minimum capacity of an instance's own tokens: a share of a small burst can be
+ * less than the one token that a request takes.
  */
-const LEAST_TOKENS = 1;
+const MIN_TOKENS = 1;
 /**
- * What an instance can save of a small burst, as a part of its overdraft: a
- * single token at an instance without requests would be lost.
+ * Additional capacity for small bursts, as a fraction of the overdraft: with a
+ * capacity of one token, refills at an instance without requests are lost.
  */
-const SAVED_AHEAD = 0.5;
+const SAVED_OVERDRAFT_FRACTION = 0.5;
 /**
- * The shortest downtime of a restart, in milliseconds. Tokens of that time are
- * available at the start, whatever was spent before.
+ * Minimum downtime of a restart. Tokens refilled in that time are available at
+ * the start, whatever was spent before.
  */
-const DOWN_MS = 500;
+const MIN_DOWNTIME_MS = 500;
 const MS_PER_S = 1_000;
 
 /**
- * Keeps the fleet's remaining tokens, from what all instances report as
- * admitted, and this instance's own tokens, which it spends besides a small
+ * Tracks the fleet's remaining tokens, from the admissions that all instances
+ * report, and this instance's own tokens, which it spends together with a small
  * overdraft.
  *
- * Own tokens are refilled at this instance's share of the rate, so they sum to
- * the rate over the fleet, also under partitions. Each tick they are rebalanced
- * to its share of the fleet's remaining tokens: otherwise an account with a
- * small burst is refused at one instance while its tokens are unused elsewhere.
+ * Own tokens refill at this instance's share of the rate, so refills sum to the
+ * rate over the fleet, also under partitions. Each tick they are rebalanced to
+ * its share of the fleet's remaining tokens: otherwise an account with a small
+ * burst is refused at one instance while its tokens are unused elsewhere.
  *
- * Remaining tokens never exceed what the window has left.
+ * Remaining tokens never exceed what the window still allows.
  */
 export class FleetBucket {
-  #saved: number;
+  #fleetTokens: number;
   #levelKnown = false;
-  #tokens = LEAST_TOKENS;
+  #ownTokens = MIN_TOKENS;
   readonly #startedAt: number;
-  #filledAt: number;
+  #refilledAt: number;
   #admitted = 0;
-  /** Overdraft since all peers last reported. */
-  #ahead = 0;
-  #window: WindowCount | undefined;
-  readonly #reported = new Map<InstanceId, Admitted>();
+  /** Overdraft spent since all peers last reported. */
+  #overdraftUsed = 0;
+  #window: SlidingWindowCounter | undefined;
+  readonly #lastReports = new Map<InstanceId, AdmissionReport>();
 
-  /** What was spent before is unknown, so the full rate is assumed. */
+  /** Earlier spending is unknown and assumed to be at the full rate. */
   constructor(now: number) {
-    this.#saved = 0;
+    this.#fleetTokens = 0;
     this.#startedAt = now;
-    this.#filledAt = now - DOWN_MS;
+    this.#refilledAt = now - MIN_DOWNTIME_MS;
   }
 
-  /** Requests admitted here since this instance's start. */
+  /** Requests admitted here since this instance started. */
   get admitted(): number {
     return this.#admitted;
   }
 
   /** Remaining tokens of the fleet; below zero after overspending. */
   level(rate: FleetRate, now: number): number {
-    this.#fill(rate, now);
+    this.#refill(rate, now);
     return this.#level(rate, now);
   }
 
-  /** Spends one token if there is one. */
+  /** Spends one token if one is available. */
   take(rate: FleetRate, now: number): boolean {
-    this.#fill(rate, now);
-    if (this.#tokens >= 1) this.#tokens--;
-    else if (this.#mayOverdraw(rate, now)) this.#ahead++;
+    this.#refill(rate, now);
+    if (this.#ownTokens >= 1) this.#ownTokens--;
+    else if (this.#mayOverdraw(rate, now)) this.#overdraftUsed++;
     else return false;
     this.#spend(1, now);
     this.#admitted++;
@@ -110,66 +110,69 @@
   /** Milliseconds until this instance has its next token. */
   waitMs(rate: FleetRate): number {
     const perMs = rate.ratePerS * rate.share / MS_PER_S;
-    return perMs <= 0 ? Infinity : Math.max(0, 1 - this.#tokens) / perMs;
+    return perMs <= 0 ? Infinity : Math.max(0, 1 - this.#ownTokens) / perMs;
   }
 
   /** Applies a peer's report of what it has admitted. */
-  hear(news: Admitted, rate: FleetRate, now: number): void {
-    this.#fill(rate, now);
-    const before = this.#reported.get(news.instance);
-    this.#reported.set(news.instance, news);
+  applyReport(report: AdmissionReport, rate: FleetRate, now: number): void {
+    this.#refill(rate, now);
+    const before = this.#lastReports.get(report.instance);
+    this.#lastReports.set(report.instance, report);
     if (!this.#levelKnown) {
       this.#levelKnown = true;
-      this.#adoptLevel(news.level, rate, now);
+      this.#adoptLevel(report.level, rate, now);
       return;
     }
     if (before === undefined) return;
-    const from = before.start === news.start ? before.admitted : 0;
-    this.#spend(Math.max(0, news.admitted - from), now);
+    const from = before.start === report.start ? before.admitted : 0;
+    this.#spend(Math.max(0, report.admitted - from), now);
   }
 
   /**
-   * A peer is unreachable. What it spends from now on is in the reserved part of
-   * the rate, so its next report is a new baseline.
+   * Marks a peer as unreachable. The reserved part of the rate covers what it
+   * spends from now on, so its next report is a new baseline.
    */
-  unreachable(instance: InstanceId): void {
-    this.#reported.delete(instance);
+  resetPeer(instance: InstanceId): void {
+    this.#lastReports.delete(instance);
   }
 
   /**
    * Rebalances own tokens to this instance's share of the remaining tokens.
    *
-   * @param allReported Whether all peers have reported again, so that everybody
-   * knows of the overdraft.
+   * @param allReported Whether all peers have reported since the last
+   * rebalance, which resets the overdraft.
    */
   rebalance(rate: FleetRate, allReported: boolean, now: number): void {
-    if (allReported) this.#ahead = 0;
+    if (allReported) this.#overdraftUsed = 0;
     const level = this.level(rate, now);
-    const heard = heardPart(rate);
-    // This instance's part of what the reachable instances may spend.
-    const part = heard > 0 ? Math.min(1, rate.share / heard) : 0;
-    // Without a report of some instance, its spending is missing.
-    const surplus = rate.allKnown ? level - unheard(rate) : 0;
-    const least = surplus >= 1 ? Math.max(LEAST_TOKENS, surplus * part) : 0;
-    const most = Math.max(LEAST_TOKENS, level * part);
-    this.#tokens = Math.max(least, Math.min(this.#tokens, most));
+    const reachable = reachableFraction(rate);
+    // This instance's fraction of what the reachable instances may spend.
+    const part = reachable > 0 ? Math.min(1, rate.share / reachable) : 0;
+    // While an instance has not reported, its spending is not in the level.
+    const surplus = rate.complete ? level - unreported(rate) : 0;
+    const least = surplus >= 1 ? Math.max(MIN_TOKENS, surplus * part) : 0;
+    const most = Math.max(MIN_TOKENS, level * part);
+    this.#ownTokens = Math.max(least, Math.min(this.#ownTokens, most));
   }
 
-  /** The fleet has tokens though this instance has none, as for new demand. */
+  /** Whether the fleet has tokens left, as for demand that is new here. */
   #mayOverdraw(rate: FleetRate, now: number): boolean {
-    if (this.#ahead + 1 > rate.ahead || !this.#isSure(rate, now)) return false;
-    return this.level(rate, now) - unheard(rate) >= 1;
+    if (
+      this.#overdraftUsed + 1 > rate.overdraft ||
+      !this.#isWindowKnown(rate, now)
+    ) return false;
+    return this.level(rate, now) - unreported(rate) >= 1;
   }
 
   #spend(n: number, now: number): void {
-    this.#saved -= n;
+    this.#fleetTokens -= n;
     this.#window?.add(n, now);
   }
 
-  /** A peer that ran before this start knows what was spent. */
+  /** Takes the level from a peer that saw the spending before this start. */
   #adoptLevel(level: number, rate: FleetRate, now: number): void {
     const known = Math.min(level, rate.burst);
-    this.#saved = Math.max(this.#saved, known);
+    this.#fleetTokens = Math.max(this.#fleetTokens, known);
     if (this.#window === undefined) return;
     const spent = this.#window.sum(now);
     const reported = Math.max(0, rate.perWindow - known);
@@ -177,51 +180,60 @@
   }
 
   /**
-   * Tokens that unreachable instances may be spending are not counted; the same
-   * part of the burst is unavailable.
+   * Refills tokens. Unreachable instances may be spending the reserved part of
+   * the rate, so that part of the refill and of the burst is left out.
    */
-  #fill(rate: FleetRate, now: number): void {
-    this.#followWindow(rate, now);
-    const elapsedS = Math.max(0, now - this.#filledAt) / MS_PER_S;
-    this.#filledAt = Math.max(now, this.#filledAt);
-    const perS = this.#isSure(rate, now) ? rate.ratePerS : rate.firstPerS;
+  #refill(rate: FleetRate, now: number): void {
+    this.#ensureWindow(rate, now);
+    const elapsedS = Math.max(0, now - this.#refilledAt) / MS_PER_S;
+    this.#refilledAt = Math.max(now, this.#refilledAt);
+    const perS = this.#isWindowKnown(rate, now)
+      ? rate.ratePerS
+      : rate.initialPerS;
     const gained = elapsedS * perS;
-    const heard = heardPart(rate);
-    this.#saved = Math.min(rate.burst * heard, this.#saved + gained * heard);
-    // After overspending nothing is handed out until the level is positive.
+    const reachable = reachableFraction(rate);
+    this.#fleetTokens = Math.min(
+      rate.burst * reachable,
+      this.#fleetTokens + gained * reachable,
+    );
+    // After overspending, own tokens refill only once the level is positive.
     const given = this.#level(rate, now) > 0 ? gained * rate.share : 0;
-    const least = LEAST_TOKENS + rate.ahead * SAVED_AHEAD;
+    const least = MIN_TOKENS + rate.overdraft * SAVED_OVERDRAFT_FRACTION;
     const cap = Math.max(least, rate.burst * rate.share);
-    this.#tokens = Math.min(cap, this.#tokens + given);
+    this.#ownTokens = Math.min(cap, this.#ownTokens + given);
   }
 
   #level(rate: FleetRate, now: number): number {
-    if (this.#window === undefined) return this.#saved;
-    const room = rate.perWindow * heardPart(rate) - this.#window.sum(now);
-    return Math.min(this.#saved, room);
+    if (this.#window === undefined) return this.#fleetTokens;
+    const room = rate.perWindow * reachableFraction(rate) -
+      this.#window.sum(now);
+    return Math.min(this.#fleetTokens, room);
   }
 
   /**
-   * Whether the window's contents are known: this instance is older than the
-   * window, and each that may spend has reported.
+   * Whether all spending in the window is known: this instance is older than
+   * the window, and each instance has reported or has its share reserved.
    */
-  #isSure({ windowMs, allKnown }: FleetRate, now: number): boolean {
-    return allKnown && now - this.#startedAt >= windowMs;
+  #isWindowKnown(
+    { windowMs, complete }: FleetRate,
+    now: number,
+  ): boolean {
+    return complete && now - this.#startedAt >= windowMs;
   }
 
-  /** At the start the whole window may have been spent before. */
-  #followWindow({ windowMs, perWindow }: FleetRate, now: number): void {
+  /** Creates the window, assuming that all of it was spent before the start. */
+  #ensureWindow({ windowMs, perWindow }: FleetRate, now: number): void {
     if (windowMs <= 0 || this.#window !== undefined) return;
-    this.#window = new WindowCount(windowMs, now);
-    this.#window.assume(perWindow, now - this.#filledAt, now);
+    this.#window = new SlidingWindowCounter(windowMs, now);
+    this.#window.assume(perWindow, now - this.#refilledAt, now);
   }
 }
 
-function heardPart({ reserved }: FleetRate): number {
+function reachableFraction({ reserved }: FleetRate): number {
   return 1 - reserved;
 }
 
 /** What peers may have admitted since their last report. */
-function unheard({ othersPerS, ratePerS, gossipDelayMs }: FleetRate): number {
-  return Math.min(othersPerS, ratePerS) * gossipDelayMs / MS_PER_S;
+function unreported({ peersPerS, ratePerS, gossipDelayMs }: FleetRate): number {
+  return Math.min(peersPerS, ratePerS) * gossipDelayMs / MS_PER_S;
 }
--- a/src/decisions/quotas/fleet_demand.ts
+++ b/src/decisions/quotas/fleet_demand.ts
@@ -1,6 +1,6 @@
 /**
- * How often each client account, and each endpoint with a limit, is asked for:
- * here, and over the fleet as peers report it.
+ * Request rates of each client account and of each endpoint with a rate limit,
+ * at this instance and over the fleet as peers report them.
  *
  * @module
  */
@@ -9,80 +9,80 @@
 import { DemandShares, type Reserved } from "./demand_shares.ts";
 import { DemandTrend } from "./demand_trend.ts";
 
-/** Whose rate the fleet keeps together. */
+/** What has a rate limit over the whole fleet. */
 export type RatedId = AccountId | EndpointId;
 
-/** What an instance reports of one account or endpoint. */
+/** Usage of one account or endpoint, as an instance reports it. */
 export interface RateUse {
-  /** Requests a second that it was asked for lately. */
+  /** Recent requests a second, admitted or not. */
   readonly perS: number;
-  /** Requests admitted since its start. */
+  /** Requests admitted since the instance started. */
   readonly admitted: number;
-  /** The fleet's tokens as far as it knows; of accounts only. */
+  /** The instance's estimate of the fleet's remaining tokens; accounts only. */
   readonly level: number;
 }
 
-/** Who reports: an instance, or several as one. */
+/** Source of a report: an instance, or the aggregate of several. */
 export interface Reporter {
   readonly instance: InstanceId;
-  /** Names the instance's start: its counts begin anew with it. */
+  /** Identifies the instance's start: its counters restart at zero with it. */
   readonly start: string;
   readonly instances?: number;
   readonly reserved?: Reserved;
 }
 
-/** Demand of the fleet as one instance knows it. */
+/** One instance's view of the fleet's demand. */
 export class FleetDemand {
   readonly shares: DemandShares;
   readonly #counter = new DemandCounter();
   readonly #trend = new DemandTrend();
   readonly #fleetSize: () => number;
 
-  /** @param fleetSize Instances that may spend, this one included. */
+  /** @param fleetSize Instances that may admit requests, this one included. */
   constructor(own: InstanceId, fleetSize: () => number) {
     this.shares = new DemandShares(own, fleetSize);
     this.#fleetSize = fleetSize;
   }
 
   /** Counts one request. */
-  asked(id: RatedId, now: number): void {
-    this.#counter.asked(id, now);
-    this.#trend.asked(now);
+  recordRequest(id: RatedId, now: number): void {
+    this.#counter.recordRequest(id, now);
+    this.#trend.recordRequest(now);
   }
 
-  /** How many times its usual rate this instance is asked just now, at least 1. */
+  /** Current demand at this instance over its baseline, at least 1. */
   growth(now: number): number {
     return this.#trend.growth(now);
   }
 
-  /** Takes in this instance's own demand, and gives it; run once a tick. */
+  /** Applies this instance's own demand and returns it; runs once a tick. */
   tick(now: number): ReadonlyMap<RatedId, number> {
     const demand = this.#counter.rates(now);
     this.shares.tick(demand);
     return demand;
   }
 
-  /** Takes in what another instance, or several as one, were asked for. */
+  /** Applies the demand that another instance or group reported. */
   reported(from: Reporter, uses: ReadonlyMap<RatedId, RateUse>): void {
     const demand = new Map([...uses].map(([id, use]) => [id, use.perS]));
-    this.shares.reported(from.instance, demand, from);
+    this.shares.applyReport(from.instance, demand, from);
   }
 
   /**
-   * Requests a second of all instances, those that are not heard included.
-   * Until peers have reported, all are taken to be asked as this one is.
+   * Requests a second of all instances, the unreachable ones included. Until
+   * peers have reported, each is assumed to have the demand of this instance.
    */
   fleetPerS(id: RatedId, now: number): number {
-    const heard = this.shares.heardPerS(id);
-    if (heard <= 0) return this.#counter.rate(id, now) * this.#fleetSize();
-    return heard / this.heardPart(id);
+    const reachable = this.shares.reachablePerS(id);
+    if (reachable <= 0) return this.#counter.rate(id, now) * this.#fleetSize();
+    return reachable / this.reachableFraction(id);
   }
 
-  /** The part of a rate that is not reserved for unreachable instances. */
-  heardPart(id: RatedId): number {
-    return Math.max(MIN_HEARD_PART, 1 - this.shares.reserved(id));
+  /** Fraction of a rate that is not reserved for unreachable instances. */
+  reachableFraction(id: RatedId): number {
+    return Math.max(MIN_REACHABLE_FRACTION, 1 - this.shares.reserved(id));
   }
 }
 
-/** The part of the demand that is heard is taken to be at least this. */
-const MIN_HEARD_PART = 0.01;
+/** Lower bound of the reachable fraction, which is a divisor. */
+const MIN_REACHABLE_FRACTION = 0.01;
--- a/src/decisions/quotas/gossip_delay.ts
+++ b/src/decisions/quotas/gossip_delay.ts
@@ -1,12 +1,12 @@
 /**
- * How old peers' reports may be when tokens are rebalanced.
+ * Maximum age of peers' reports when tokens are rebalanced.
  *
- * As much of a rate is left alone as peers may have admitted meanwhile.
+ * Rebalancing holds back what peers may have admitted within that time.
  *
  * @module
  */
 
-/** Reported by each instance itself: a digest's period and the way, in ms. */
+/** Reports sent by each instance itself: gossip period plus network latency. */
 export const DIRECT_GOSSIP_DELAY_MS = 400;
-/** Reported by relays: the same and two more periods, in milliseconds. */
+/** Reports aggregated by relays: the same plus two gossip periods. */
 export const RELAYED_GOSSIP_DELAY_MS = 800;
--- a/src/decisions/quotas/mod.ts
+++ b/src/decisions/quotas/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Rates of client accounts over the whole fleet, and the demand of all that has
- * a rate.
+ * Fleet-wide rate limits of client accounts, and the fleet's demand for all
+ * accounts and endpoints with a rate limit.
  *
  * @module
  */
@@ -12,4 +12,4 @@
 export * from "./fleet_demand.ts";
 export * from "./gossip_delay.ts";
 export * from "./rate_limit.ts";
-export * from "./window_count.ts";
+export * from "./sliding_window_counter.ts";
--- a/src/decisions/quotas/rate_limit.ts
+++ b/src/decisions/quotas/rate_limit.ts
@@ -1,56 +1,56 @@
 /**
- * What an account's rate and burst allow over a window.
+ * Token-bucket parameters from an account's rate, burst and accounting window.
  *
  * @module
  */
 import type { Account } from "../../traffic/mod.ts";
 
-/** How the platform judges rates: over which time, and what it tolerates. */
+/** The window over which the platform measures rates, and its tolerance. */
 export interface RateWindow {
   readonly windowMs: number;
-  /** Tolerated beyond the limit, as a part of it. */
+  /** Tolerated above the limit, as a fraction of it. */
   readonly overshoot: number;
-  /** Tolerated besides, in requests a window. */
+  /** Tolerated in addition, in requests per window. */
   readonly slack: number;
 }
 
 /** No window: rates and bursts apply as they are. */
 export const NO_WINDOW: RateWindow = { windowMs: 0, overshoot: 0, slack: 0 };
 
-/** An account's limit, as buckets use it. */
+/** An account's limit in the parameters of its token bucket. */
 export interface RateLimit {
-  /** Tokens that come in, a second. */
+  /** Refill rate in tokens a second. */
   readonly ratePerS: number;
-  /** The same while it is not known what the window holds. */
-  readonly firstPerS: number;
-  /** Tokens that can be saved up. */
+  /** Refill rate while earlier spending in the window is unknown. */
+  readonly initialPerS: number;
+  /** Capacity in tokens. */
   readonly burst: number;
-  /** Requests that may be admitted in any window; infinite without one. */
+  /** Maximum requests in any window; infinite without one. */
   readonly perWindow: number;
   readonly windowMs: number;
 }
 
 /**
- * Parts of the rate and burst that are handed out. Instances that were cut off
- * overspend until they notice; what is left and what is tolerated cover that.
+ * Fractions of the rate and burst in use. Partitioned instances overspend until
+ * they detect the partition; the unused rest and the tolerance cover that.
  */
-const USED_RATE = 0.97;
+const RATE_FRACTION = 0.97;
 /**
- * Part of the rate that is handed out while it is not known what the window
- * holds: some that were never heard may be spending more than their share.
+ * Fraction of the rate in use while earlier spending in the window is unknown:
+ * instances that have not reported yet may spend more than their share.
  */
-const UNSURE_RATE = 0.9;
-const USED_BURST = 0.6;
+const INITIAL_RATE_FRACTION = 0.9;
+const BURST_FRACTION = 0.6;
 
 const MS_PER_S = 1_000;
 
 /**
- * The limit of an account.
+ * Derives an account's limit.
  *
- * The load it answers: an account that sends a little more than its rate for a
- * while, or whose demand comes in waves. In each window it may send its rate
- * and once its burst. Buckets filled at the rate alone give the burst out once,
- * and refuse after that what the account may still send.
+ * Load: an account that stays slightly above its rate for some time, or whose
+ * demand fluctuates. Each window allows its rate plus one burst. A bucket that
+ * refills at the rate alone grants the burst once, and then refuses requests
+ * that the window still allows.
  *
  * @example
  * ```ts
@@ -60,12 +60,12 @@
 export function rateLimit(account: Account, window: RateWindow): RateLimit {
   const { ratePerS, burst } = account;
   const { windowMs } = window;
-  const usedBurst = burst * USED_BURST;
+  const usedBurst = burst * BURST_FRACTION;
   if (windowMs <= 0) {
-    const usedPerS = ratePerS * USED_RATE;
+    const usedPerS = ratePerS * RATE_FRACTION;
     return {
       ratePerS: usedPerS,
-      firstPerS: usedPerS,
+      initialPerS: usedPerS,
       burst: usedBurst,
       perWindow: Infinity,
       windowMs,
@@ -74,15 +74,18 @@
   const perWindow = allowedPerWindow(account, window);
   return {
     ratePerS: perWindow * MS_PER_S / windowMs,
-    firstPerS: ratePerS * UNSURE_RATE,
+    initialPerS: ratePerS * INITIAL_RATE_FRACTION,
     burst: usedBurst,
     perWindow,
     windowMs,
   };
 }
 
-/** Requests a window that the platform tolerates beyond an account's limit. */
-export function tolerated(account: Account, window: RateWindow): number {
+/** Requests per window that the platform tolerates above an account's limit. */
+export function toleratedPerWindow(
+  account: Account,
+  window: RateWindow,
+): number {
   return allowedPerWindow(account, window) * window.overshoot + window.slack;
 }
 
--- a/src/decisions/quotas/window_count_test.ts
+++ b/src/decisions/quotas/sliding_window_counter_test.ts
@@ -1,13 +1,13 @@
 import test from "ava";
 import * as fc from "fast-check";
-import { WindowCount } from "./mod.ts";
+import { SlidingWindowCounter } from "./mod.ts";
 
 const WINDOW_MS = 5_000;
-/** What is counted leaves the window by this much late. */
-const PART_MS = WINDOW_MS / 50;
+/** A count may leave the window late by up to this much. */
+const INTERVAL_MS = WINDOW_MS / 50;
 
-test("a window holds all that came within it, and nothing older than a part more", (t) => {
-  // A count that forgets too soon lets an account pass its limit.
+test("a sliding window holds all recent counts, and none more than an interval too old", (t) => {
+  // Guards against counts that expire too early: an account exceeds its limit.
   fc.assert(
     fc.property(
       fc.array(
@@ -18,7 +18,7 @@
         { minLength: 1, maxLength: 40 },
       ),
       (steps) => {
-        const count = new WindowCount(WINDOW_MS, 0);
+        const count = new SlidingWindowCounter(WINDOW_MS, 0);
         const added: { at: number; n: number }[] = [];
         let now = 0;
         for (const { gapMs, n } of steps) {
@@ -30,7 +30,7 @@
               .reduce((sum, a) => sum + a.n, 0);
           const sum = count.sum(now);
           if (sum < within(WINDOW_MS)) return false;
-          if (sum > within(WINDOW_MS + PART_MS)) return false;
+          if (sum > within(WINDOW_MS + INTERVAL_MS)) return false;
         }
         return true;
       },
@@ -40,12 +40,12 @@
   t.pass();
 });
 
-test("what may have been spent before leaves the window little by little", (t) => {
-  // An instance starts and does not know what was spent. Were all of it let go
-  // at once, the account could send a whole window's worth again.
-  const count = new WindowCount(WINDOW_MS, 0);
+test("assumed earlier spending leaves the window gradually", (t) => {
+  // Guards against assumed spending of a new instance that expires all at once:
+  // the account could send a whole window's worth again.
+  const count = new SlidingWindowCounter(WINDOW_MS, 0);
   count.assume(510, 0, 0);
   t.is(Math.round(count.sum(0)), 510);
   t.is(Math.round(count.sum(WINDOW_MS / 2)), 260);
-  t.is(Math.round(count.sum(WINDOW_MS + PART_MS)), 0);
+  t.is(Math.round(count.sum(WINDOW_MS + INTERVAL_MS)), 0);
 });
--- a/src/decisions/quotas/testing/arrivals.ts
+++ b/src/decisions/quotas/testing/arrivals.ts
@@ -1,17 +1,17 @@
 /**
- * Requests that arrive at a rate, and when they were admitted.
+ * Random request arrivals, and the times of admissions.
  *
  * @module
  */
 import type { Random } from "../../../core/mod.ts";
 
-/** How many requests arrive where so many are expected. */
+/** Number of arrivals in a step in which `expected` arrive on average. */
 export function arrivals(expected: number, random: Random): number {
   const whole = Math.floor(expected);
   return whole + (random.next() < expected - whole ? 1 : 0);
 }
 
-/** Times of admissions, in order. */
+/** Admission times, in order. */
 export class AdmissionTimes {
   readonly #at: number[] = [];
 
@@ -23,7 +23,7 @@
     this.#at.push(now);
   }
 
-  /** The most in any window of this length, in milliseconds. */
+  /** Maximum number of admissions in any window of this length. */
   mostWithin(windowMs: number): number {
     let most = 0;
     let first = 0;
--- a/src/decisions/quotas/testing/quota_fleet.ts
+++ b/src/decisions/quotas/testing/quota_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Instances that gossip what they admitted of one account, without a network:
- * late, cut off from each other, killed and started anew.
+ * Simulates instances that gossip their admissions of one account, with delays,
+ * partitions, kills and restarts.
  *
  * @module
  */
@@ -18,19 +18,19 @@
 } from "../mod.ts";
 import { AdmissionTimes, arrivals } from "./arrivals.ts";
 
-/** How the platform judges rates. */
+/** Accounting window and tolerance of the platform. */
 export const WINDOW: RateWindow = {
   windowMs: 5_000,
   overshoot: 0.1,
   slack: 20,
 };
-/** Period of gossip, in milliseconds. */
+/** Gossip period. */
 const TICK_MS = 250;
-/** Delay of gossip, in milliseconds: direct, and by zone. */
+/** Gossip delays: between instances, and through zone relays. */
 const GOSSIP_DELAY_MS = 15;
-export const ZONE_MAIL_MS = 400;
+export const ZONE_GOSSIP_DELAY_MS = 400;
 const STEP_MS = 5;
-/** When an instance's share is set aside that is not heard, in ms. */
+/** Silence after which an instance's share is reserved. */
 export const SUSPECT_AFTER_MS = 400;
 
 export function account(opts: Partial<Account> = {}): Account {
@@ -49,21 +49,21 @@
   readonly id: InstanceId;
   quotas: AccountQuotas;
   start: string;
-  /** Counts ticks, so that members tick at different times. */
+  /** Offset in the gossip period, so that members tick at different times. */
   readonly phase: number;
-  /** Cut off from all others. */
+  /** Partitioned from all others. */
   cut: boolean;
 }
 
-/** Instances that gossip what they admitted, without a network. */
+/** Simulated instances, on one simulated clock. */
 export class QuotaFleet {
   readonly members: QuotaMember[];
   readonly #account: Account;
   readonly #gossipDelayMs: number;
   readonly #random: SeededRandom;
   readonly #admitted = new AdmissionTimes();
-  readonly #mail: { at: number; run: () => void }[] = [];
-  asked = 0;
+  readonly #inTransit: { at: number; run: () => void }[] = [];
+  requests = 0;
   now = 0;
 
   constructor(
@@ -77,14 +77,14 @@
     this.#random = new SeededRandom(seed);
     this.members = Array.from({ length: size }, (_, i) => ({
       id: `i${i}` as InstanceId,
-      quotas: this.#fresh(`i${i}`, size),
+      quotas: this.#newQuotas(`i${i}`, size),
       start: "first",
       phase: Math.floor(i * TICK_MS / size / STEP_MS) * STEP_MS,
       cut: false,
     }));
   }
 
-  #fresh(id: string, size: number): AccountQuotas {
+  #newQuotas(id: string, size: number): AccountQuotas {
     const quotas = new AccountQuotas(id as InstanceId, {
       fleetSize: () => size,
       gossipDelayMs: () =>
@@ -97,25 +97,25 @@
     return quotas;
   }
 
-  /** Kills an instance and starts it anew. */
+  /** Restarts an instance with empty state. */
   restart(member: QuotaMember): void {
-    member.quotas = this.#fresh(member.id, this.members.length);
+    member.quotas = this.#newQuotas(member.id, this.members.length);
     member.start = `start-${this.now}`;
   }
 
-  /** Separates members from all others; what is on the way is lost. */
+  /** Partitions members from all others; all messages in transit are lost. */
   cut(members: readonly QuotaMember[]): void {
     for (const member of members) member.cut = true;
-    this.#mail.length = 0;
+    this.#inTransit.length = 0;
   }
 
-  /** Lets all hear each other again. */
+  /** Ends all partitions. */
   heal(): void {
     for (const member of this.members) member.cut = false;
   }
 
-  /** The members that are cut off count as unreachable, on both sides. */
-  noticeCut(): void {
+  /** Marks partitioned members as unreachable, on both sides. */
+  detectCut(): void {
     for (const a of this.members) {
       for (const b of this.members) {
         if (a !== b && (a.cut || b.cut)) a.quotas.unreachable(b.id);
@@ -123,7 +123,7 @@
     }
   }
 
-  /** Lets requests come at `perS(member)` for a time; gives how many passed. */
+  /** Sends requests at `perS(member)`; returns how many were admitted. */
   run(forMs: number, perS: (member: QuotaMember) => number): number {
     const before = this.#admitted.count;
     const end = this.now + forMs;
@@ -131,34 +131,34 @@
       this.now += STEP_MS;
       this.#deliver();
       for (const member of this.members) {
-        if (this.now % TICK_MS === member.phase) this.#tell(member);
-        this.#arrive(member, perS(member));
+        if (this.now % TICK_MS === member.phase) this.#gossip(member);
+        this.#receiveRequests(member, perS(member));
       }
     }
     return this.#admitted.count - before;
   }
 
-  /** The most that passed in any window of this length. */
+  /** Maximum number of admissions in any window of this length. */
   mostWithin(windowMs: number): number {
     return this.#admitted.mostWithin(windowMs);
   }
 
-  #arrive(member: QuotaMember, perS: number): void {
-    const asked = arrivals(perS * STEP_MS / 1_000, this.#random);
-    this.asked += asked;
-    for (let i = 0; i < asked; i++) {
+  #receiveRequests(member: QuotaMember, perS: number): void {
+    const requests = arrivals(perS * STEP_MS / 1_000, this.#random);
+    this.requests += requests;
+    for (let i = 0; i < requests; i++) {
       const { admitted } = member.quotas.take(this.#account, this.now);
       if (admitted) this.#admitted.add(this.now);
     }
   }
 
-  #tell(member: QuotaMember): void {
+  #gossip(member: QuotaMember): void {
     const uses = member.quotas.tick(this.now);
     const from = { instance: member.id, start: member.start };
     if (member.cut) return;
     for (const other of this.members) {
       if (other === member || other.cut) continue;
-      this.#mail.push({
+      this.#inTransit.push({
         at: this.now + this.#gossipDelayMs,
         run: () => other.quotas.reported(from, uses, this.now),
       });
@@ -166,13 +166,13 @@
   }
 
   #deliver(): void {
-    while ((this.#mail[0]?.at ?? Infinity) <= this.now) {
-      this.#mail.shift()?.run();
+    while ((this.#inTransit[0]?.at ?? Infinity) <= this.now) {
+      this.#inTransit.shift()?.run();
     }
   }
 }
 
-/** What the platform tolerates over a window of five seconds. */
+/** Requests that the platform tolerates in a window of five seconds. */
 export function bound({ ratePerS, burst }: Account): number {
   return (ratePerS * 5 + burst) * 1.1 + 20;
 }
--- a/src/decisions/retries/mod.ts
+++ b/src/decisions/retries/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Retries.
+ * Retry policies and retry budgets.
  *
  * @module
  */
--- a/src/decisions/retries/retry_budget.ts
+++ b/src/decisions/retries/retry_budget.ts
@@ -1,50 +1,48 @@
 /**
- * How many retries an instance may make for a service.
+ * Limits the retries that an instance makes for a service.
  *
- * Answers a pool of endpoints that fails. If every failed request were tried
- * three times, a pool that is down or overloaded would get three times its
- * load just then and could not recover, which shows as failures that go on
- * after their cause is gone. A tenth of the requests covers single failures
- * and restarts; a few a second keep retries alive where there is little
- * traffic.
+ * Load: a pool of endpoints that fails. If every failed request were tried
+ * three times, a pool that is down or overloaded would get three times its load
+ * and could not recover, so failures would outlast their cause. A tenth of the
+ * requests covers single failures and restarts; a few retries a second serve
+ * services with little traffic.
  *
  * @module
  */
 
-/** Retries earned by each request. */
-const EARNED_PART = 0.1;
-/** Retries earned each second whatever the traffic. */
-const EARNED_PER_S = 3;
-/** Retries that may be saved up: a restart of one endpoint, not of a pool. */
-const MAX_SAVED = 20;
+const RETRIES_PER_REQUEST = 0.1;
+/** Retries a second that are available at any request rate. */
+const MIN_RETRIES_PER_S = 3;
+/** Enough for the restart of one endpoint, but not of a pool. */
+const MAX_BALANCE = 20;
 const MS_PER_S = 1_000;
 
-/** Retries of one service at one instance. */
+/** Retry budget of one service at one instance. */
 export class RetryBudget {
-  #saved = MAX_SAVED / 2;
-  #earnedAt: number;
+  #balance = MAX_BALANCE / 2;
+  #depositedAt: number;
 
   constructor(now: number) {
-    this.#earnedAt = now;
+    this.#depositedAt = now;
   }
 
-  /** Counts a first try. */
+  /** Records a first attempt. */
   request(now: number): void {
-    this.#earn(now, EARNED_PART);
+    this.#deposit(now, RETRIES_PER_REQUEST);
   }
 
-  /** Spends a retry if there is one. */
+  /** Spends one retry if the balance allows it. */
   take(now: number): boolean {
-    this.#earn(now, 0);
-    if (this.#saved < 1) return false;
-    this.#saved -= 1;
+    this.#deposit(now, 0);
+    if (this.#balance < 1) return false;
+    this.#balance -= 1;
     return true;
   }
 
-  #earn(now: number, extra: number): void {
-    const elapsed = Math.max(0, now - this.#earnedAt);
-    this.#earnedAt = Math.max(now, this.#earnedAt);
-    const earned = elapsed / MS_PER_S * EARNED_PER_S + extra;
-    this.#saved = Math.min(MAX_SAVED, this.#saved + earned);
+  #deposit(now: number, extra: number): void {
+    const elapsed = Math.max(0, now - this.#depositedAt);
+    this.#depositedAt = Math.max(now, this.#depositedAt);
+    const deposit = elapsed / MS_PER_S * MIN_RETRIES_PER_S + extra;
+    this.#balance = Math.min(MAX_BALANCE, this.#balance + deposit);
   }
 }
--- a/src/decisions/retries/retry_policy.ts
+++ b/src/decisions/retries/retry_policy.ts
@@ -1,44 +1,43 @@
 /**
- * Whether and when a failed try is followed by another.
+ * Decides whether and when a failed attempt is retried.
  *
- * Only what is idempotent or surely did not run is tried again, only while
- * another try can still end before the deadline, and with jitter, so that
- * requests that failed together do not come again together.
+ * Only requests that are idempotent or certainly did not run are retried, only
+ * while another attempt can end before the deadline, and with jitter, so that
+ * requests that failed together are not retried together.
  *
  * @module
  */
 import type { Failure, Random, ServiceId } from "../../core/mod.ts";
 import { RetryBudget } from "./retry_budget.ts";
 
-/** A failed try. */
-export interface FailedTry {
+export interface FailedAttempt {
   readonly service: ServiceId;
-  /** Tries made, this one included. */
+  /** Attempts made, this one included. */
   readonly tries: number;
   readonly failure: Failure;
   readonly idempotent: boolean;
-  /** Whether the request can be sent once more, its body included. */
+  /** Whether the request can be sent again, its body included. */
   readonly replayable: boolean;
   readonly deadline: number;
 }
 
-/** Three endpoints in a row that fail a request point to the request. */
-const MAX_TRIES = 3;
+/** After three endpoints in a row failed it, the request is the likely cause. */
+const MAX_ATTEMPTS = 3;
 /**
- * The next try goes to another endpoint, so the first wait need only spread
- * requests that failed together; later ones give the pool time.
+ * The next attempt goes to another endpoint, so the first backoff only spreads
+ * requests that failed together; later ones give the pool time to recover.
  */
-const FIRST_WAIT_MS = 5;
-/** A try with less time than this left cannot end in time. */
-const LEAST_LEFT_MS = 5;
+const BASE_BACKOFF_MS = 5;
+/** With less time than this left, an attempt can't end before the deadline. */
+const MIN_REMAINING_MS = 5;
 
-/** Failures after which another endpoint may do better. */
-const WORTH_A_TRY: ReadonlySet<Failure["code"]> = new Set([
+/** Failures after which another endpoint may succeed. */
+const RETRYABLE_CODES: ReadonlySet<Failure["code"]> = new Set([
   "endpoint_failed",
   "no_capacity",
 ]);
 
-/** Decides on retries of all services at one instance. */
+/** Retry policy of one instance, with a retry budget per service. */
 export class RetryPolicy {
   readonly #random: Random;
   readonly #budgets = new Map<ServiceId, RetryBudget>();
@@ -47,21 +46,21 @@
     this.#random = random;
   }
 
-  /** Counts a request's first try. */
+  /** Records a request's first attempt. */
   request(service: ServiceId, now: number): void {
     this.#budget(service, now).request(now);
   }
 
-  /** Milliseconds to wait before another try; undefined if there is none. */
-  next(failed: FailedTry, now: number): number | undefined {
-    if (!mayRunAgain(failed)) return undefined;
-    const longest = FIRST_WAIT_MS * 2 ** (failed.tries - 1);
-    const waitMs = longest * this.#random.next();
-    if (now + waitMs + LEAST_LEFT_MS >= failed.deadline) return undefined;
-    return this.#budget(failed.service, now).take(now) ? waitMs : undefined;
+  /** Spends a retry and returns its backoff; undefined if it is not allowed. */
+  next(failed: FailedAttempt, now: number): number | undefined {
+    if (!isRetryable(failed)) return undefined;
+    const maxBackoffMs = BASE_BACKOFF_MS * 2 ** (failed.tries - 1);
+    const backoffMs = maxBackoffMs * this.#random.next();
+    if (now + backoffMs + MIN_REMAINING_MS >= failed.deadline) return undefined;
+    return this.#budget(failed.service, now).take(now) ? backoffMs : undefined;
   }
 
-  /** Forgets services that the document no longer has. */
+  /** Removes the budgets of all other services. */
   retain(services: ReadonlySet<string>): void {
     for (const id of this.#budgets.keys()) {
       if (!services.has(id)) this.#budgets.delete(id);
@@ -77,9 +76,9 @@
   }
 }
 
-function mayRunAgain(failed: FailedTry): boolean {
+function isRetryable(failed: FailedAttempt): boolean {
   const { failure, idempotent, replayable, tries } = failed;
-  if (!replayable || tries >= MAX_TRIES) return false;
-  if (!WORTH_A_TRY.has(failure.code)) return false;
+  if (!replayable || tries >= MAX_ATTEMPTS) return false;
+  if (!RETRYABLE_CODES.has(failure.code)) return false;
   return idempotent || failure.outcome === "not-run";
 }
--- a/src/decisions/retries/retry_policy_test.ts
+++ b/src/decisions/retries/retry_policy_test.ts
@@ -1,10 +1,10 @@
 import test from "ava";
 import { failure, SeededRandom, type ServiceId } from "../../core/mod.ts";
-import { type FailedTry, RetryPolicy } from "./retry_policy.ts";
+import { type FailedAttempt, RetryPolicy } from "./retry_policy.ts";
 
 const SERVICE = "s" as ServiceId;
 
-function failed(change: Partial<FailedTry> = {}): FailedTry {
+function failed(change: Partial<FailedAttempt> = {}): FailedAttempt {
   return {
     service: SERVICE,
     tries: 1,
@@ -20,29 +20,29 @@
 const late = failure("deadline_exceeded", "late", { outcome: "unknown" });
 
 const CASES = [
-  { name: "idempotent, outcome unknown", change: {}, again: true },
-  { name: "not idempotent", change: { idempotent: false }, again: false },
+  { name: "idempotent, outcome unknown", change: {}, retried: true },
+  { name: "not idempotent", change: { idempotent: false }, retried: false },
   {
-    name: "not idempotent but surely not run",
+    name: "not idempotent but certainly not run",
     change: { idempotent: false, failure: notRun },
-    again: true,
+    retried: true,
   },
-  { name: "body already sent", change: { replayable: false }, again: false },
-  { name: "third try failed", change: { tries: 3 }, again: false },
-  { name: "deadline near", change: { deadline: 5 }, again: false },
-  { name: "deadline passed", change: { failure: late }, again: false },
+  { name: "body already sent", change: { replayable: false }, retried: false },
+  { name: "third attempt failed", change: { tries: 3 }, retried: false },
+  { name: "deadline near", change: { deadline: 5 }, retried: false },
+  { name: "deadline passed", change: { failure: late }, retried: false },
 ];
 
-for (const { name, change, again } of CASES) {
-  test(`${again ? "tries again" : "gives up"}: ${name}`, (t) => {
+for (const { name, change, retried } of CASES) {
+  test(`${retried ? "retries" : "does not retry"}: ${name}`, (t) => {
     const policy = new RetryPolicy(new SeededRandom(1));
-    t.is(policy.next(failed(change), 0) !== undefined, again);
+    t.is(policy.next(failed(change), 0) !== undefined, retried);
   });
 }
 
-test("a pool that fails wholly gets a tenth more load, not three times", (t) => {
-  // Every endpoint of a pool fails at once. Retries of all requests would keep
-  // it down after the cause is gone, and callers would wait longer to fail.
+test("retries add a tenth to the load of a pool that fails, not twice the load", (t) => {
+  // Every endpoint of a pool fails at once. Guards against retries of all
+  // requests, which keep the pool down after the cause is gone.
   const policy = new RetryPolicy(new SeededRandom(1));
   const retriesIn = (from: number, seconds: number, perS: number) => {
     let retries = 0;
--- a/src/decisions/retries/shared_retry_budget.ts
+++ b/src/decisions/retries/shared_retry_budget.ts
@@ -1,12 +1,11 @@
 /**
- * How many second sends an instance may make, as its part of a budget that all
- * instances share.
+ * Limits an instance's retries to its part of a budget that the fleet shares.
  *
- * Answers a service that fails as a whole: were every failed request sent a
- * second time, the service would get twice its load just then. The fleet's
- * budget over a sliding window is a part of the requests plus a fixed number;
- * each instance spends its part of both by its own count, so the sum holds with
- * instances in touch or not.
+ * Load: a service that fails as a whole. If every failed request were sent a
+ * second time, the service would get twice its load. The fleet's budget over a
+ * sliding window is a ratio of the requests plus a fixed number. Each instance
+ * applies the ratio to its own requests and takes an equal part of the fixed
+ * number, so the sum holds under partitions too.
  *
  * @module
  */
@@ -14,81 +13,82 @@
 
 /** The fleet's budget for a service. */
 export interface RetryAllowance {
-  /** Second sends for each request of the window. */
+  /** Retries per request in the window. */
   readonly ratio: number;
-  /** Second sends on top of that, over the whole fleet. */
+  /** Additional retries in the window, over the whole fleet. */
   readonly slack: number;
   readonly windowMs: number;
 }
 
 /**
- * Part of the budget that is used. Requests counted here just before the window
- * ends may arrive in the next one, and an instance that starts anew forgets
- * what it spent.
+ * Fraction of the budget in use. Requests counted here at the end of a window
+ * may arrive in the next one, and a restarted instance loses its counts.
  */
-const USED_PART = 0.8;
-/** Steps of the window: what is forgotten at once is one step's count. */
-const STEPS = 10;
+const USED_FRACTION = 0.8;
+/** Intervals of the window; counts expire one interval at a time. */
+const INTERVALS = 10;
 
-interface Step {
+interface Interval {
   readonly index: number;
   requests: number;
-  repeats: number;
+  retries: number;
 }
 
-/** Requests and second sends of one service in the sliding window. */
-class SlidingCounts {
-  readonly #stepMs: number;
-  #steps: Step[] = [];
+/** Requests and retries of one service in the sliding window. */
+class SlidingWindowCounts {
+  readonly #intervalMs: number;
+  #intervals: Interval[] = [];
 
   constructor(windowMs: number) {
-    this.#stepMs = windowMs / STEPS;
+    this.#intervalMs = windowMs / INTERVALS;
   }
 
-  at(now: number): Step {
-    const index = Math.floor(now / this.#stepMs);
-    const last = this.#steps.at(-1);
+  at(now: number): Interval {
+    const index = Math.floor(now / this.#intervalMs);
+    const last = this.#intervals.at(-1);
     if (last?.index === index) return last;
-    const step = { index, requests: 0, repeats: 0 };
-    this.#steps = this.#steps.filter((s) => s.index > index - STEPS - 1);
-    this.#steps.push(step);
-    return step;
+    const interval = { index, requests: 0, retries: 0 };
+    this.#intervals = this.#intervals.filter((s) =>
+      s.index > index - INTERVALS - 1
+    );
+    this.#intervals.push(interval);
+    return interval;
   }
 
-  sum(now: number): { requests: number; repeats: number } {
+  sum(now: number): { requests: number; retries: number } {
     this.at(now);
     let requests = 0;
-    let repeats = 0;
-    for (const step of this.#steps) {
-      requests += step.requests;
-      repeats += step.repeats;
+    let retries = 0;
+    for (const interval of this.#intervals) {
+      requests += interval.requests;
+      retries += interval.retries;
     }
-    return { requests, repeats };
+    return { requests, retries };
   }
 }
 
-/** Second sends of one instance by service. */
+/** Retry budgets of one instance, by service. */
 export class SharedRetryBudget {
   #allowance: RetryAllowance;
-  readonly #counts = new Map<ServiceId, SlidingCounts>();
+  readonly #counts = new Map<ServiceId, SlidingWindowCounts>();
 
   constructor(allowance: RetryAllowance) {
     this.#allowance = allowance;
   }
 
-  /** Takes over a new budget; what was spent stays spent. */
+  /** Applies a new budget; resets counts only if the window length changes. */
   setAllowance(allowance: RetryAllowance): void {
     if (allowance.windowMs !== this.#allowance.windowMs) this.#counts.clear();
     this.#allowance = allowance;
   }
 
-  /** Counts a request of a caller. */
+  /** Records a request of a caller. */
   request(service: ServiceId, now: number): void {
-    this.#of(service).at(now).requests++;
+    this.#countsOf(service).at(now).requests++;
   }
 
   /**
-   * Spends a second send if the instance's part has one left.
+   * Spends one retry if the instance's part of the budget has one left.
    *
    * @example
    * ```ts
@@ -100,20 +100,20 @@
     fleet: { readonly instances: number },
     now: number,
   ): boolean {
-    const counts = this.#of(service);
-    const { requests, repeats } = counts.sum(now);
+    const counts = this.#countsOf(service);
+    const { requests, retries } = counts.sum(now);
     const { ratio, slack } = this.#allowance;
     const part = requests * ratio + slack / Math.max(1, fleet.instances);
-    if (repeats + 1 > part * USED_PART) return false;
-    counts.at(now).repeats++;
+    if (retries + 1 > part * USED_FRACTION) return false;
+    counts.at(now).retries++;
     return true;
   }
 
-  #of(service: ServiceId): SlidingCounts {
+  #countsOf(service: ServiceId): SlidingWindowCounts {
     const known = this.#counts.get(service);
     if (known !== undefined) return known;
-    const fresh = new SlidingCounts(this.#allowance.windowMs);
-    this.#counts.set(service, fresh);
-    return fresh;
+    const created = new SlidingWindowCounts(this.#allowance.windowMs);
+    this.#counts.set(service, created);
+    return created;
   }
 }
