--- a/src/decisions/regions/forwarded_intake.ts
+++ b/src/decisions/regions/forwarded_intake.ts
@@ -1,10 +1,9 @@
 /**
- * Work that other instances send here.
+ * Admission control for requests that other instances forward here.
  *
- * Answers grants that are stale, lost or spent twice: whatever an instance
- * believes it may send, what does not fit beside this region's own work is
- * refused here as not run, so that no steering decision elsewhere overloads
- * this region.
+ * Handles grants that are stale, lost or used twice: forwarded requests beyond
+ * the capacity left by this region's own callers are refused as not run, so
+ * that no decision of another instance can overload this region.
  *
  * @module
  */
@@ -21,18 +20,17 @@
 import type { HeadroomGrants } from "./headroom_grants.ts";
 import type { LinkBudgets } from "./link_budgets.ts";
 
-/** What the intake needs. */
 export interface ForwardedIntakeDeps {
   readonly region: RegionId;
   readonly local: FairDispatcher;
   readonly grants: HeadroomGrants;
   readonly links: LinkBudgets;
   readonly document: () => SteeringDocument;
-  /** Whether this instance stops taking work. */
+  /** Whether this instance accepts no more forwarded requests. */
   readonly closed: () => boolean;
 }
 
-/** Who forwarded a request. */
+/** The instance that forwarded a request. */
 export interface Forwarder {
   readonly instance: InstanceId;
   readonly region: RegionId;
@@ -40,42 +38,42 @@
 
 const DEFAULT_HEADROOM = 0.2;
 
-/** Lets forwarded work in, within what was granted. */
+/** Admits forwarded requests within the grants and the free capacity. */
 export class ForwardedIntake {
   readonly #deps: ForwardedIntakeDeps;
-  readonly #running = new Map<ServiceId, Map<InstanceId, number>>();
+  readonly #inFlight = new Map<ServiceId, Map<InstanceId, number>>();
 
   constructor(deps: ForwardedIntakeDeps) {
     this.#deps = deps;
   }
 
   /**
-   * Requests of others that may run here at once: the slots without the part
-   * kept free, less what runs or waits here for own callers.
+   * Forwarded requests that may run here at once: the slots without the
+   * headroom, less the requests of own callers in flight and queued.
    */
   shareable(service: ServiceId, now: number): number {
     const { local, closed, document, region } = this.#deps;
     const load = local.loadOf(service, now);
     if (load === undefined || closed()) return 0;
-    const kept = document().regions[region]?.headroom ?? DEFAULT_HEADROOM;
-    const own = load.inFlight - this.running(service);
-    const usable = Math.floor(load.capacity * (1 - kept));
-    return Math.max(0, usable - own - load.waiting);
+    const headroom = document().regions[region]?.headroom ?? DEFAULT_HEADROOM;
+    const ownInFlight = load.inFlight - this.running(service);
+    const usable = Math.floor(load.capacity * (1 - headroom));
+    return Math.max(0, usable - ownInFlight - load.waiting);
   }
 
-  /** Forwarded requests that run here. */
+  /** Forwarded requests of one service in flight here. */
   running(service: ServiceId): number {
-    const byInstance = this.#running.get(service)?.values() ?? [];
+    const byInstance = this.#inFlight.get(service)?.values() ?? [];
     return [...byInstance].reduce((n, r) => n + r, 0);
   }
 
-  /** Forwarded requests of all services that run here. */
+  /** Forwarded requests of all services in flight here. */
   get runningInAll(): number {
-    const services = [...this.#running.keys()];
+    const services = [...this.#inFlight.keys()];
     return services.reduce((n, service) => n + this.running(service), 0);
   }
 
-  /** A slot at once, or a refusal with outcome `not-run`. */
+  /** Reserves a slot without waiting, or refuses with outcome `not-run`. */
   take(
     req: SteeringRequest,
     from: Forwarder,
@@ -83,14 +81,14 @@
   ): Result<Slot, Failure> {
     const { local, grants, links, region } = this.#deps;
     const { service } = req;
-    const runs = this.#running.get(service)?.get(from.instance) ?? 0;
+    const active = this.#inFlight.get(service)?.get(from.instance) ?? 0;
     const granted = grants.granted({ instance: from.instance, service }, now);
-    const answerFits = from.region === region ||
+    const linkFree = from.region === region ||
       links.hasRoom(from.region, now);
     const fits = this.running(service) < this.shareable(service, now);
-    if (!answerFits || !fits || runs >= Math.max(1, granted)) return full();
-    const slot = local.tryNow(req, now);
-    return slot ? ok(this.#count(slot, service, from.instance)) : full();
+    if (!linkFree || !fits || active >= Math.max(1, granted)) return refuse();
+    const slot = local.tryAcquire(req, now);
+    return slot ? ok(this.#count(slot, service, from.instance)) : refuse();
   }
 
   #count(slot: Slot, service: ServiceId, from: InstanceId): Slot {
@@ -106,17 +104,17 @@
     };
   }
 
-  #add(service: ServiceId, from: InstanceId, by: number): void {
-    const counts = this.#running.get(service) ?? new Map();
-    this.#running.set(service, counts);
-    const runs = (counts.get(from) ?? 0) + by;
-    if (runs === 0) counts.delete(from);
-    else counts.set(from, runs);
+  #add(service: ServiceId, from: InstanceId, delta: number): void {
+    const counts = this.#inFlight.get(service) ?? new Map();
+    this.#inFlight.set(service, counts);
+    const active = (counts.get(from) ?? 0) + delta;
+    if (active === 0) counts.delete(from);
+    else counts.set(from, active);
   }
 }
 
-function full(): Result<never, Failure> {
-  return fail("no_capacity", "no room for other zones' work", {
+function refuse(): Result<never, Failure> {
+  return fail("no_capacity", "no capacity for forwarded requests", {
     outcome: "not-run",
   });
 }
--- a/src/decisions/regions/headroom_grants.ts
+++ b/src/decisions/regions/headroom_grants.ts
@@ -1,141 +1,153 @@
 /**
- * How many requests of other instances may run here.
+ * Grants other instances a number of requests that they may run here.
  *
- * Answers regions that fail over at once. If every instance read the same free
- * room and sent that much, two regions that lose their endpoints together
- * would fill the third twice over, which shows as its own callers waiting
- * behind strangers. So free room is divided over those who ask, and what was
- * granted stays set aside until it is lowered or runs out.
+ * Handles regions that fail over at the same time. If all instances used the
+ * same published free capacity, two failing regions would load the third with
+ * twice that, and its own callers would wait. So free capacity is divided among
+ * the requesters, and a grant stays reserved until it is lowered or expires.
  *
  * @module
  */
 import type { InstanceId, ServiceId } from "../../core/mod.ts";
 
-interface Asker {
+interface Requester {
   wanted: number;
-  askedAt: number;
+  requestedAt: number;
   granted: number;
   grantedAt: number;
 }
 
-/** An asker not heard for this long, ten ticks, no longer has a part. */
-const ASK_LIFE_MS = 1_000;
-/** A grant stays set aside this long: the asker may act on it unheard. */
-const GRANT_LIFE_MS = 3_000;
+/** A request for capacity expires after ten ticks without a renewal. */
+const REQUEST_TTL_MS = 1_000;
+/** Grants stay reserved this long, as a silent requester may still use them. */
+const GRANT_TTL_MS = 3_000;
 
-/** Grants of one instance, by service and asker. */
+/** Grants of one instance, by service and requester. */
 export class HeadroomGrants {
-  readonly #askers = new Map<ServiceId, Map<InstanceId, Asker>>();
+  readonly #requesters = new Map<ServiceId, Map<InstanceId, Requester>>();
 
-  /** Takes in what an instance would like to run here. */
+  /** Records how many requests an instance wants to run here. */
   ask(
     from: { instance: InstanceId; service: ServiceId },
     wanted: number,
     now: number,
   ): void {
-    const askers = this.#askers.get(from.service) ?? new Map();
-    this.#askers.set(from.service, askers);
-    const known = askers.get(from.instance);
-    if (known) Object.assign(known, { wanted, askedAt: now });
+    const requesters = this.#requesters.get(from.service) ?? new Map();
+    this.#requesters.set(from.service, requesters);
+    const known = requesters.get(from.instance);
+    if (known) Object.assign(known, { wanted, requestedAt: now });
     else if (wanted > 0) {
-      const asker = { wanted, askedAt: now, granted: 0, grantedAt: -Infinity };
-      askers.set(from.instance, asker);
+      const requester = {
+        wanted,
+        requestedAt: now,
+        granted: 0,
+        grantedAt: -Infinity,
+      };
+      requesters.set(from.instance, requester);
     }
   }
 
-  /** What an asker may run here out of `shareable`; all grants together never pass it. */
+  /** Grants a share of `shareable`; the sum of grants never exceeds it. */
   grant(
     to: { instance: InstanceId; service: ServiceId },
     shareable: number,
     now: number,
   ): number {
-    const askers = this.#askers.get(to.service);
-    const asker = askers?.get(to.instance);
-    if (askers === undefined || asker === undefined) return 0;
-    const share = fairShare(activeWants(askers, now), shareable);
-    const others = outstanding(askers, now) - live(asker, now);
+    const requesters = this.#requesters.get(to.service);
+    const requester = requesters?.get(to.instance);
+    if (requesters === undefined || requester === undefined) return 0;
+    const share = fairShare(currentDemands(requesters, now), shareable);
+    const others = totalGranted(requesters, now) -
+      liveGrant(requester, now);
     const granted = Math.max(
       0,
       Math.min(
-        now - asker.askedAt <= ASK_LIFE_MS ? asker.wanted : 0,
-        Math.max(share, rankedRemainder(askers, to.instance, shareable, now)),
+        now - requester.requestedAt <= REQUEST_TTL_MS ? requester.wanted : 0,
+        Math.max(share, minimumByRank(requesters, to.instance, shareable, now)),
         Math.floor(shareable) - others,
       ),
     );
-    asker.granted = granted;
-    asker.grantedAt = now;
+    requester.granted = granted;
+    requester.grantedAt = now;
     return granted;
   }
 
-  /** What an asker was granted and may still act on. */
+  /** The requester's grant; 0 once it has expired. */
   granted(
-    of: { instance: InstanceId; service: ServiceId },
+    to: { instance: InstanceId; service: ServiceId },
     now: number,
   ): number {
-    const asker = this.#askers.get(of.service)?.get(of.instance);
-    return asker ? live(asker, now) : 0;
+    const requester = this.#requesters.get(to.service)?.get(to.instance);
+    return requester ? liveGrant(requester, now) : 0;
   }
 
-  /** Services an instance asked for lately. */
+  /** Services for which the instance has a current request or grant. */
   servicesOf(instance: InstanceId, now: number): ServiceId[] {
-    return [...this.#askers].filter(([, askers]) => {
-      const asker = askers.get(instance);
-      return asker !== undefined &&
-        (now - asker.askedAt <= ASK_LIFE_MS || live(asker, now) > 0);
+    return [...this.#requesters].filter(([, requesters]) => {
+      const requester = requesters.get(instance);
+      return requester !== undefined &&
+        (now - requester.requestedAt <= REQUEST_TTL_MS ||
+          liveGrant(requester, now) > 0);
     }).map(([service]) => service);
   }
 
-  /** Forgets those who ask no more. */
+  /** Removes requesters whose request and grant have expired. */
   tick(now: number): void {
-    for (const askers of this.#askers.values()) {
-      for (const [id, asker] of askers) {
-        const silent = now - asker.askedAt > GRANT_LIFE_MS;
-        if (silent && live(asker, now) === 0) askers.delete(id);
+    for (const requesters of this.#requesters.values()) {
+      for (const [id, requester] of requesters) {
+        const expired = now - requester.requestedAt > GRANT_TTL_MS;
+        if (expired && liveGrant(requester, now) === 0) requesters.delete(id);
       }
     }
   }
 }
 
-function live(asker: Asker, now: number): number {
-  return now - asker.grantedAt <= GRANT_LIFE_MS ? asker.granted : 0;
+function liveGrant(requester: Requester, now: number): number {
+  return now - requester.grantedAt <= GRANT_TTL_MS ? requester.granted : 0;
 }
 
-function outstanding(askers: ReadonlyMap<InstanceId, Asker>, now: number) {
-  return [...askers.values()].reduce((n, a) => n + live(a, now), 0);
+function totalGranted(
+  requesters: ReadonlyMap<InstanceId, Requester>,
+  now: number,
+) {
+  return [...requesters.values()].reduce(
+    (n, a) => n + liveGrant(a, now),
+    0,
+  );
 }
 
-function activeWants(
-  askers: ReadonlyMap<InstanceId, Asker>,
+function currentDemands(
+  requesters: ReadonlyMap<InstanceId, Requester>,
   now: number,
 ): number[] {
-  return [...askers.values()]
-    .filter((a) => now - a.askedAt <= ASK_LIFE_MS && a.wanted > 0)
+  return [...requesters.values()]
+    .filter((a) => now - a.requestedAt <= REQUEST_TTL_MS && a.wanted > 0)
     .map((a) => a.wanted);
 }
 
-/** Max-min share: what small askers leave goes to the large ones. */
-function fairShare(wants: readonly number[], total: number): number {
-  let left = Math.floor(total);
+/** Max-min fair share: what small requesters leave goes to large ones. */
+function fairShare(demands: readonly number[], total: number): number {
+  let remaining = Math.floor(total);
   let share = 0;
-  const sorted = [...wants].sort((a, b) => a - b);
-  for (const [i, want] of sorted.entries()) {
-    share = Math.floor(left / (sorted.length - i));
-    if (want > share) return share;
-    left -= want;
-    share = want;
+  const sorted = [...demands].sort((a, b) => a - b);
+  for (const [i, demand] of sorted.entries()) {
+    share = Math.floor(remaining / (sorted.length - i));
+    if (demand > share) return share;
+    remaining -= demand;
+    share = demand;
   }
   return share;
 }
 
-/** With less room than askers, the first few by name get one each. */
-function rankedRemainder(
-  askers: ReadonlyMap<InstanceId, Asker>,
+/** With less capacity than requesters, the first ones by id get one each. */
+function minimumByRank(
+  requesters: ReadonlyMap<InstanceId, Requester>,
   instance: InstanceId,
   shareable: number,
   now: number,
 ): number {
-  const active = [...askers].filter(([, a]) =>
-    now - a.askedAt <= ASK_LIFE_MS && a.wanted > 0
+  const active = [...requesters].filter(([, a]) =>
+    now - a.requestedAt <= REQUEST_TTL_MS && a.wanted > 0
   ).map(([id]) => id).sort();
   if (active.length <= shareable) return 0;
   return active.indexOf(instance) < Math.floor(shareable) ? 1 : 0;
--- a/src/decisions/regions/mod.ts
+++ b/src/decisions/regions/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Work across availability zones and regions.
+ * Forwards requests to other availability zones and regions.
  *
  * @module
  */
@@ -8,4 +8,4 @@
 export * from "./link_budgets.ts";
 export * from "./region_dispatcher.ts";
 export * from "./remote_rooms.ts";
-export * from "./wish_counter.ts";
+export * from "./remote_demand.ts";
--- a/src/decisions/regions/region_dispatcher.ts
+++ b/src/decisions/regions/region_dispatcher.ts
@@ -1,11 +1,11 @@
 /**
- * Own availability zone first, then the region's other zones, then other
- * regions.
+ * Dispatches to the own availability zone first, then to the region's other
+ * zones, then to other regions.
  *
- * Answers a zone whose endpoints fail, drain or are all taken. Without it the
- * zone's callers are refused while other zones have room. Work goes elsewhere
- * only if waiting here would take longer than the way there, only on room that
- * the other side granted, and only while the link has room.
+ * Handles a zone whose endpoints fail, drain or are full. Without it the zone's
+ * callers are refused while other zones have capacity. A request is forwarded
+ * only if the local wait exceeds the extra round trip, within what the other
+ * instance granted, and while the link has capacity.
  *
  * @module
  */
@@ -31,10 +31,13 @@
   type WorkResult,
 } from "../steering/mod.ts";
 import type { LinkBudgets } from "./link_budgets.ts";
-import { remoteId, type RemotePeer, type RemoteRooms } from "./remote_rooms.ts";
-import { WishCounter } from "./wish_counter.ts";
+import {
+  remoteEndpointId,
+  type RemotePeer,
+  type RemoteRooms,
+} from "./remote_rooms.ts";
+import { RemoteDemand } from "./remote_demand.ts";
 
-/** What a region dispatcher needs. */
 export interface RegionDispatcherDeps {
   readonly clock: Clock;
   readonly random: Random;
@@ -45,27 +48,27 @@
   readonly links: LinkBudgets;
 }
 
-interface Pending {
+interface PendingRequest {
   readonly req: SteeringRequest;
   readonly settle: (result: Result<Slot, Failure>) => void;
 }
 
-/** A wait that is shorter than the way to another zone and back, with margin. */
-const ZONE_WAIT_MS = 10;
-/** The same for another region: twice 12 ms each way. */
-const REGION_WAIT_MS = 50;
+/** Added latency of another zone, with margin; shorter waits stay local. */
+const ZONE_DETOUR_MS = 10;
+/** The same for another region: a round trip of 2 x 12 ms, with margin. */
+const REGION_DETOUR_MS = 50;
 /**
- * With no endpoint here, a request waits this long for a first grant, which
- * takes two ticks; longer means that nobody has room.
+ * Longest wait for a first grant if there is no endpoint here. A grant takes
+ * two ticks; if none arrives in this time, no instance has capacity.
  */
-const GRANT_WAIT_MS = 500;
+const MAX_GRANT_WAIT_MS = 500;
 const MAX_PENDING = 256;
 
-/** Steers over zones and regions. */
+/** Dispatches over zones and regions. */
 export class RegionDispatcher implements Dispatcher {
   readonly #deps: RegionDispatcherDeps;
-  readonly #wishes = new WishCounter();
-  readonly #pending = new Set<Pending>();
+  readonly #demand = new RemoteDemand();
+  readonly #pending = new Set<PendingRequest>();
   #services: readonly ServiceId[] = [];
   #drained: Drained | undefined;
 
@@ -86,25 +89,25 @@
     local.tick(now);
     for (const service of this.#services) {
       const load = local.loadOf(service, now);
-      // With nothing here, room elsewhere is asked for before anybody comes.
-      const standing = (load?.capacity ?? 0) === 0 ? 1 : 0;
+      // Without local capacity, remote capacity is requested in advance.
+      const baseDemand = (load?.capacity ?? 0) === 0 ? 1 : 0;
       const waiting = load?.waiting ?? 0;
       const running = rooms.inFlight(service);
-      this.#wishes.settle(service, Math.max(standing, waiting + running));
+      this.#demand.endTick(service, Math.max(baseDemand, waiting + running));
     }
     this.retry(now);
   }
 
-  /** Requests of a service that this instance would like to run elsewhere. */
+  /** Requests of a service that this instance wants to forward. */
   wanted(service: ServiceId): number {
-    return this.#wishes.of(service);
+    return this.#demand.of(service);
   }
 
-  /** Tries again what waits for a first grant; run when room was told. */
+  /** Retries requests that wait for a grant, when capacity may have grown. */
   retry(now: number): void {
     for (const pending of [...this.#pending]) {
-      const slot = this.#deps.local.tryNow(pending.req, now) ??
-        this.#elsewhere(pending.req, Infinity, now);
+      const slot = this.#deps.local.tryAcquire(pending.req, now) ??
+        this.#takeRemote(pending.req, Infinity, now);
       if (slot) pending.settle(ok(slot));
     }
   }
@@ -115,20 +118,20 @@
   ): Promise<Result<Slot, Failure>> {
     const { clock, local } = this.#deps;
     const now = clock.now();
-    if (signal?.aborted) return gone();
-    const slot = local.tryNow(req, now);
+    if (signal?.aborted) return cancelled();
+    const slot = local.tryAcquire(req, now);
     if (slot) return ok(slot);
-    const waitMs = local.expectedWait(req, now);
-    if (waitMs <= ZONE_WAIT_MS) return await this.#wait(req, signal);
-    this.#wishes.add(req.service);
-    const remote = this.#elsewhere(req, waitMs, now);
+    const waitMs = local.expectedWaitMs(req, now);
+    if (waitMs <= ZONE_DETOUR_MS) return await this.#waitLocal(req, signal);
+    this.#demand.add(req.service);
+    const remote = this.#takeRemote(req, waitMs, now);
     if (remote) return ok(remote);
-    if (waitMs !== Infinity) return await this.#wait(req, signal);
+    if (waitMs !== Infinity) return await this.#waitLocal(req, signal);
     return await this.#waitForGrant(req, signal);
   }
 
-  /** Waits here; if a drain closes the zone meanwhile, goes elsewhere. */
-  async #wait(
+  /** Waits for a local slot; forwards if a drain leaves no local endpoint. */
+  async #waitLocal(
     req: SteeringRequest,
     signal: AbortSignal | undefined,
   ): Promise<Result<Slot, Failure>> {
@@ -137,27 +140,27 @@
     return await this.#waitForGrant(req, signal);
   }
 
-  #elsewhere(
+  #takeRemote(
     req: SteeringRequest,
     waitMs: number,
     now: number,
   ): Slot | undefined {
     const { zone, region } = this.#deps;
-    const near = this.#take(
+    const sameRegion = this.#takeFromTier(
       req,
       now,
       (p) => p.region === region && p.zone !== zone,
     );
-    if (near) return near;
+    if (sameRegion) return sameRegion;
     if (waitMs === Infinity) {
-      const mate = this.#take(req, now, (p) => p.zone === zone);
-      if (mate) return mate;
+      const sameZone = this.#takeFromTier(req, now, (p) => p.zone === zone);
+      if (sameZone) return sameZone;
     }
-    if (waitMs <= REGION_WAIT_MS) return undefined;
-    return this.#take(req, now, (p) => p.region !== region);
+    if (waitMs <= REGION_DETOUR_MS) return undefined;
+    return this.#takeFromTier(req, now, (p) => p.region !== region);
   }
 
-  #take(
+  #takeFromTier(
     req: SteeringRequest,
     now: number,
     tier: (peer: RemotePeer) => boolean,
@@ -165,15 +168,15 @@
     const { rooms, random, links, region } = this.#deps;
     const { service, exclude } = req;
     const accept = (peer: RemotePeer) =>
-      tier(peer) && !this.#closed(peer) &&
+      tier(peer) && !this.#isDrained(peer) &&
       (peer.region === region || links.hasRoom(peer.region, now));
-    const room = rooms.choose({ service, exclude, now, accept }, random);
-    if (room === undefined) return undefined;
-    rooms.take(service, room, now);
-    const { peer } = room;
+    const row = rooms.choose({ service, exclude, now, accept }, random);
+    if (row === undefined) return undefined;
+    rooms.take(service, row, now);
+    const { peer } = row;
     let held = true;
     return {
-      endpoint: remoteId(peer),
+      endpoint: remoteEndpointId(peer),
       url: peer.peerUrl,
       zone: peer.zone,
       forward: {
@@ -185,29 +188,30 @@
       release: (result, at) => {
         if (!held) return;
         held = false;
-        rooms.release(room, ENDS[result], at);
+        rooms.release(row, REMOTE_RESULTS[result], at);
         this.retry(at);
       },
     };
   }
 
-  #closed({ zone, instance }: { zone: ZoneId; instance: InstanceId }): boolean {
+  #isDrained(
+    { zone, instance }: { zone: ZoneId; instance: InstanceId },
+  ): boolean {
     const drained = this.#drained;
     return drained === undefined || drained.zone(zone) ||
       drained.instance(instance);
   }
 
   /**
-   * Before the first grants are told a request may wait for them. Then only as
-   * many wait as run elsewhere, so that each has its turn soon; the rest could
-   * only wait in vain.
+   * Without a recent grant any request may wait for one. Otherwise only as many
+   * may wait as can be in flight remotely; more would wait in vain.
    */
-  #mayPend(service: ServiceId, now: number): boolean {
+  #mayWaitForGrant(service: ServiceId, now: number): boolean {
     if (this.#pending.size >= MAX_PENDING) return false;
     const { rooms } = this.#deps;
-    if (!rooms.isFresh(service, now)) return true;
+    if (!rooms.hasFreshGrant(service, now)) return true;
     const waiting = [...this.#pending].filter((p) => p.req.service === service);
-    return waiting.length < rooms.allowedInAll(service, now);
+    return waiting.length < rooms.totalAllowed(service, now);
   }
 
   #waitForGrant(
@@ -215,13 +219,13 @@
     signal: AbortSignal | undefined,
   ): Promise<Result<Slot, Failure>> {
     const { clock } = this.#deps;
-    if (!this.#mayPend(req.service, clock.now())) {
-      return Promise.resolve(noRoom(req));
+    if (!this.#mayWaitForGrant(req.service, clock.now())) {
+      return Promise.resolve(noCapacity(req));
     }
-    const waitMs = Math.min(GRANT_WAIT_MS, req.deadline - clock.now());
+    const waitMs = Math.min(MAX_GRANT_WAIT_MS, req.deadline - clock.now());
     return new Promise((resolve) => {
-      const onAbort = () => pending.settle(gone());
-      const pending: Pending = {
+      const onAbort = () => pending.settle(cancelled());
+      const pending: PendingRequest = {
         req,
         settle: (result) => {
           this.#pending.delete(pending);
@@ -232,7 +236,7 @@
       };
       const timer: Timer = clock.after(
         Math.max(0, waitMs),
-        () => pending.settle(noRoom(req)),
+        () => pending.settle(noCapacity(req)),
       );
       signal?.addEventListener("abort", onAbort);
       this.#pending.add(pending);
@@ -240,7 +244,7 @@
   }
 }
 
-const ENDS: Readonly<Record<WorkResult, "fine" | "full" | "lost">> = {
+const REMOTE_RESULTS: Readonly<Record<WorkResult, "fine" | "full" | "lost">> = {
   ok: "fine",
   cancelled: "fine",
   timeout: "fine",
@@ -248,13 +252,17 @@
   failed: "lost",
 };
 
-function gone(): Result<never, Failure> {
+function cancelled(): Result<never, Failure> {
   return fail("cancelled", "the caller went away", { outcome: "not-run" });
 }
 
-function noRoom(req: SteeringRequest): Result<never, Failure> {
-  return fail("no_endpoint", `no zone has room for service ${req.service}`, {
-    outcome: "not-run",
-    retryAfterMs: GRANT_WAIT_MS,
-  });
+function noCapacity(req: SteeringRequest): Result<never, Failure> {
+  return fail(
+    "no_endpoint",
+    `no zone has capacity for service ${req.service}`,
+    {
+      outcome: "not-run",
+      retryAfterMs: MAX_GRANT_WAIT_MS,
+    },
+  );
 }
--- a/src/decisions/regions/regions_test.ts
+++ b/src/decisions/regions/regions_test.ts
@@ -10,65 +10,69 @@
 import { parseDocument } from "../../document/mod.ts";
 import { HeadroomGrants } from "./headroom_grants.ts";
 import { LinkBudgets } from "./link_budgets.ts";
-import { aged, RemoteRooms } from "./remote_rooms.ts";
+import { RemoteRooms, staleFactor } from "./remote_rooms.ts";
 
 const SERVICE = "s" as ServiceId;
 
-function asker(i: number) {
+function requester(i: number) {
   return { instance: `i${i}` as InstanceId, service: SERVICE };
 }
 
 const SHARES = [
-  { name: "one asker", wants: [10], room: 6, granted: [6] },
+  { name: "one requester", wants: [10], capacity: 6, granted: [6] },
   {
-    name: "two that fail over at once",
+    name: "two that fail over at the same time",
     wants: [9, 9],
-    room: 6,
+    capacity: 6,
     granted: [3, 3],
   },
-  { name: "a small and a large one", wants: [1, 9], room: 6, granted: [1, 5] },
   {
-    name: "more askers than room",
+    name: "a small and a large one",
+    wants: [1, 9],
+    capacity: 6,
+    granted: [1, 5],
+  },
+  {
+    name: "more requesters than capacity",
     wants: [5, 5, 5],
-    room: 2,
+    capacity: 2,
     granted: [1, 1, 0],
   },
-  { name: "no room", wants: [5], room: 0, granted: [0] },
+  { name: "no capacity", wants: [5], capacity: 0, granted: [0] },
 ] as const;
 
-for (const { name, wants, room, granted } of SHARES) {
-  test(`room is divided over its askers: ${name}`, (t) => {
+for (const { name, wants, capacity, granted } of SHARES) {
+  test(`capacity is divided over its requesters: ${name}`, (t) => {
     const grants = new HeadroomGrants();
-    wants.forEach((wanted, i) => grants.ask(asker(i), wanted, 0));
-    t.deepEqual(wants.map((_w, i) => grants.grant(asker(i), room, 0)), [
+    wants.forEach((wanted, i) => grants.ask(requester(i), wanted, 0));
+    t.deepEqual(wants.map((_w, i) => grants.grant(requester(i), capacity, 0)), [
       ...granted,
     ]);
   });
 }
 
-test("grants that may still be acted on never pass the room of their time", (t) => {
-  // Askers come, go silent and come back while the room changes. If a grant
-  // whose asker fell silent were handed to another at once, both would use it
-  // and the region would be overfilled.
+test("the sum of unexpired grants never exceeds the capacity", (t) => {
+  // Requesters start, go silent and return. If the grant of a silent requester
+  // were given to another at once, both would use it and overload the region.
   const step = fc.record({
-    who: fc.nat(3),
+    index: fc.nat(3),
     wanted: fc.nat(9),
-    passed: fc.nat(2_000),
+    elapsedMs: fc.nat(2_000),
   });
   const property = fc.property(
     fc.array(step, { maxLength: 40 }),
     fc.integer({ min: 0, max: 12 }),
-    (steps, room) => {
+    (steps, capacity) => {
       const grants = new HeadroomGrants();
       let now = 0;
-      for (const { who, wanted, passed } of steps) {
-        now += passed;
-        grants.ask(asker(who), wanted, now);
-        grants.grant(asker(who), room, now);
+      for (const { index, wanted, elapsedMs } of steps) {
+        now += elapsedMs;
+        grants.ask(requester(index), wanted, now);
+        grants.grant(requester(index), capacity, now);
         grants.tick(now);
         const sum = [0, 1, 2, 3]
-          .reduce((n, i) => n + grants.granted(asker(i), now), 0);
-        if (sum > room) return false;
+          .reduce((n, i) => n + grants.granted(requester(i), now), 0);
+        if (sum > capacity) return false;
       }
       return true;
     },
@@ -77,7 +81,7 @@
   t.pass();
 });
 
-function rooms(granted: number) {
+function setupTable(granted: number) {
   const table = new RemoteRooms();
   const peer = {
     instance: "i1" as InstanceId,
@@ -95,39 +99,39 @@
   return { table, peer, choose };
 }
 
-test("use of a cold zone grows over three seconds to all that is granted", (t) => {
-  const { table, peer, choose } = rooms(20);
+test("use of a cold zone ramps up to the full grant over three seconds", (t) => {
+  const { table, peer, choose } = setupTable(20);
   const running = [];
-  for (let room = choose(0); room; room = choose(0)) {
-    table.take(SERVICE, room, 0);
-    running.push(room);
+  for (let remote = choose(0); remote; remote = choose(0)) {
+    table.take(SERVICE, remote, 0);
+    running.push(remote);
   }
   t.is(running.length, 10);
   for (let now = 500; now <= 3_000; now += 500) {
     table.tell(SERVICE, peer, { granted: 20, now });
-    const room = running[0]!;
-    table.release(room, "fine", now);
-    table.take(SERVICE, room, now);
+    const remote = running[0]!;
+    table.release(remote, "fine", now);
+    table.take(SERVICE, remote, now);
   }
   t.is(table.allowed(SERVICE, running[0]!, 3_000), 20);
 });
 
-test("a figure that is no longer renewed shrinks but never to nothing", (t) => {
-  // The other region goes on serving but its batches are lost. Going on at
-  // full measure could overload it unseen; stopping would refuse callers that
-  // it could serve.
-  const { table, choose } = rooms(8);
-  const room = choose(0)!;
-  t.is(aged(500), 1);
-  t.is(aged(4_000), 0.5);
-  t.is(table.allowed(SERVICE, room, 3_600_000), 1);
+test("a grant that is no longer renewed decays but not to zero", (t) => {
+  // The other region still serves but its messages are lost. Using the full
+  // grant could overload it unnoticed; using none would refuse requests that it
+  // could serve.
+  const { table, choose } = setupTable(8);
+  const remote = choose(0)!;
+  t.is(staleFactor(500), 1);
+  t.is(staleFactor(4_000), 0.5);
+  t.is(table.allowed(SERVICE, remote, 3_600_000), 1);
 });
 
-test("a room that turned work away is full until it tells anew", (t) => {
-  const { table, peer, choose } = rooms(8);
-  const room = choose(0)!;
-  table.take(SERVICE, room, 0);
-  table.release(room, "full", 0);
+test("an instance that refused a request is full until its next grant", (t) => {
+  const { table, peer, choose } = setupTable(8);
+  const remote = choose(0)!;
+  table.take(SERVICE, remote, 0);
+  table.release(remote, "full", 0);
   t.is(choose(0), undefined);
   table.tell(SERVICE, peer, { granted: 8, now: 100 });
   t.truthy(choose(100));
@@ -151,8 +155,8 @@
 }
 
 test("all instances of a region together stay under the link's cap", (t) => {
-  // A region fails over and every instance sends as fast as it can. Each
-  // keeping to its own part must be enough, for they do not ask each other.
+  // A region fails over and every instance sends as fast as it can. As they do
+  // not coordinate, each one's share alone must keep the sum under the cap.
   const senders = links([0.5, 0.25, 0.25]);
   let sent = 0;
   for (let now = 0; now < 10_000; now++) {
--- a/src/decisions/regions/remote_rooms.ts
+++ b/src/decisions/regions/remote_rooms.ts
@@ -1,11 +1,10 @@
 /**
- * Room at other instances, as they told it, and how much of it may be used.
+ * Capacity that other instances granted, and how much of it may be used.
  *
- * Answers big moves and measurements that stop. Work sent over at full speed
- * meets cold caches, which shows as a latency peak where it arrives; so use of
- * a zone grows over some seconds. When an instance is no longer heard, its
- * last figure shrinks by and by: to go on as if it held would overload a
- * region that fell ill, to drop to nothing would refuse work that could run.
+ * Handles large shifts of traffic and missing updates. A sudden shift meets
+ * cold caches and causes a latency peak, so use of a zone ramps up in seconds.
+ * The last grant of a silent instance decays: to use all of it could overload a
+ * failing region, to use none would refuse requests that can be served.
  *
  * @module
  */
@@ -18,7 +17,7 @@
   ZoneId,
 } from "../../core/mod.ts";
 
-/** An instance that work may be sent through. */
+/** An instance that requests may be forwarded to. */
 export interface RemotePeer {
   readonly instance: InstanceId;
   readonly zone: ZoneId;
@@ -26,156 +25,163 @@
   readonly peerUrl: string;
 }
 
-/** Room at one instance for one service. */
-export interface RemoteRoom {
+/** Capacity granted by one instance for one service. */
+export interface RemoteCapacity {
   readonly peer: RemotePeer;
   granted: number;
-  heardAt: number;
+  receivedAt: number;
   inFlight: number;
   blockedUntil: number;
 }
 
-interface Warmth {
+interface RampUp {
   part: number;
   at: number;
   usedAt: number;
 }
 
-/** A figure is taken as it is for this long: ten ticks. */
-const FRESH_MS = 1_000;
-/** After that it halves in this time. */
-const HALF_LIFE_MS = 3_000;
-/** Part of the last figure below which caution does not go. */
-const CAUTION_PART = 0.1;
+/** A grant counts in full for this long: ten ticks. */
+const GRANT_FRESH_MS = 1_000;
+/** After that it decays with this half-life. */
+const GRANT_HALF_LIFE_MS = 3_000;
+/** Lower bound of the decay, as a fraction of the last grant. */
+const MIN_GRANT_RATIO = 0.1;
 /**
- * Use of a zone grows from half to all of what is granted in 3 s. From a
- * quarter in 5 s, a planned drain of one region of three refused 85 of its
- * first 316 requests; the granted figure already leaves the headroom free.
+ * Use of a zone ramps up from half of the grant to all of it in 3 s. With a
+ * quarter and 5 s, a planned drain of one region of three refused 85 of its
+ * first 316 requests. The grant already excludes the headroom.
  */
-const WARM_START = 0.5;
-const WARM_MS = 3_000;
-/** A zone unused this long is cold again. */
-const COLD_AFTER_MS = 60_000;
-/** An instance that could not be reached is left out this long. */
-const UNREACHABLE_MS = 1_000;
+const RAMP_UP_START = 0.5;
+const RAMP_UP_MS = 3_000;
+/** A zone unused for longer than this ramps up again. */
+const RAMP_UP_RESET_MS = 60_000;
+/** An instance is skipped for this long after a request to it failed. */
+const FAILED_SKIP_MS = 1_000;
 
-/** Sums of small parts fall short of a whole by less than this. */
-const ROUNDING = 1e-9;
+/** Compensates floating-point error of summed ramp-up steps. */
+const ROUNDING_EPSILON = 1e-9;
 
-/** The table of room elsewhere. */
+/** Granted capacity by service and instance. */
 export class RemoteRooms {
-  readonly #rooms = new Map<ServiceId, Map<InstanceId, RemoteRoom>>();
-  readonly #warmth = new Map<string, Warmth>();
+  readonly #byService = new Map<ServiceId, Map<InstanceId, RemoteCapacity>>();
+  readonly #rampUps = new Map<string, RampUp>();
 
-  /** Takes in what an instance grants. */
-  tell(service: ServiceId, peer: RemotePeer, told: {
+  /** Stores the grant of an instance. */
+  tell(service: ServiceId, peer: RemotePeer, grant: {
     granted: number;
     now: number;
   }): void {
-    const rooms = this.#rooms.get(service) ?? new Map();
-    this.#rooms.set(service, rooms);
-    const { granted, now } = told;
-    const known = rooms.get(peer.instance);
-    // Slots taken earlier hold the row, so it is changed and not replaced.
-    if (known) Object.assign(known, { peer, granted, heardAt: now });
-    else rooms.set(peer.instance, newRoom(peer, granted, now));
+    const rows = this.#byService.get(service) ?? new Map();
+    this.#byService.set(service, rows);
+    const { granted, now } = grant;
+    const known = rows.get(peer.instance);
+    // Held slots refer to the object, so it is updated and not replaced.
+    if (known) Object.assign(known, { peer, granted, receivedAt: now });
+    else rows.set(peer.instance, newRemoteCapacity(peer, granted, now));
   }
 
-  /** Requests running elsewhere. */
+  /** Forwarded requests in flight. */
   inFlight(service: ServiceId): number {
-    const rooms = this.#rooms.get(service)?.values() ?? [];
-    return [...rooms].reduce((n, r) => n + r.inFlight, 0);
+    const rows = this.#byService.get(service)?.values() ?? [];
+    return [...rows].reduce((n, r) => n + r.inFlight, 0);
   }
 
-  /** Requests that may be in flight elsewhere at once, over all instances. */
-  allowedInAll(service: ServiceId, now: number): number {
-    const rooms = this.#rooms.get(service)?.values() ?? [];
-    return [...rooms].reduce((n, r) => n + this.allowed(service, r, now), 0);
+  /** Forwarded requests that may be in flight, over all instances. */
+  totalAllowed(service: ServiceId, now: number): number {
+    const rows = this.#byService.get(service)?.values() ?? [];
+    return [...rows].reduce((n, r) => n + this.allowed(service, r, now), 0);
   }
 
-  /** Whether any instance has lately told what it grants. */
-  isFresh(service: ServiceId, now: number): boolean {
-    const rooms = this.#rooms.get(service)?.values() ?? [];
-    return [...rooms].some((r) => now - r.heardAt <= FRESH_MS);
+  /** Whether any instance sent a recent grant. */
+  hasFreshGrant(service: ServiceId, now: number): boolean {
+    const rows = this.#byService.get(service)?.values() ?? [];
+    return [...rows].some((r) => now - r.receivedAt <= GRANT_FRESH_MS);
   }
 
-  /** Requests running through the instances that `at` picks. */
+  /** Requests in flight through the instances that the predicate selects. */
   inFlightAt(at: (peer: RemotePeer) => boolean): number {
     let sum = 0;
-    for (const rooms of this.#rooms.values()) {
-      for (const { peer, inFlight } of rooms.values()) {
+    for (const rows of this.#byService.values()) {
+      for (const { peer, inFlight } of rows.values()) {
         if (at(peer)) sum += inFlight;
       }
     }
     return sum;
   }
 
-  /** The better of two random rooms that `accept` takes; undefined if none. */
-  choose(question: {
+  /** The less loaded of two random instances with capacity, if there is one. */
+  choose(criteria: {
     service: ServiceId;
     exclude: ReadonlySet<EndpointId> | undefined;
     now: number;
     accept: (peer: RemotePeer) => boolean;
-  }, random: Random): RemoteRoom | undefined {
-    const { service, exclude, now, accept } = question;
-    const rooms = [...this.#rooms.get(service)?.values() ?? []].filter((r) =>
-      accept(r.peer) && !exclude?.has(remoteId(r.peer)) &&
+  }, random: Random): RemoteCapacity | undefined {
+    const { service, exclude, now, accept } = criteria;
+    const rows = [...this.#byService.get(service)?.values() ?? []].filter((
+      r,
+    ) =>
+      accept(r.peer) && !exclude?.has(remoteEndpointId(r.peer)) &&
       r.inFlight < this.allowed(service, r, now)
     );
-    const first = rooms[random.below(Math.max(1, rooms.length))];
-    const second = rooms[random.below(Math.max(1, rooms.length))];
+    const first = rows[random.below(Math.max(1, rows.length))];
+    const second = rows[random.below(Math.max(1, rows.length))];
     if (first === undefined || second === undefined) return undefined;
     return this.#load(service, first, now) <= this.#load(service, second, now)
       ? first
       : second;
   }
 
-  /** Takes one place in a room; `release` gives it back. */
-  take(service: ServiceId, room: RemoteRoom, now: number): void {
-    room.inFlight += 1;
-    this.#use(service, room.peer.zone, now);
+  /** Counts one request in flight, until `release`. */
+  take(service: ServiceId, row: RemoteCapacity, now: number): void {
+    row.inFlight += 1;
+    this.#recordUse(service, row.peer.zone, now);
   }
 
-  /** Gives a place back. */
-  release(room: RemoteRoom, result: "fine" | "full" | "lost", now: number) {
-    room.inFlight -= 1;
-    if (result === "full") room.granted = Math.min(room.granted, room.inFlight);
-    if (result === "lost") room.blockedUntil = now + UNREACHABLE_MS;
+  /** `full` caps the grant at what is in flight; `lost` skips the instance. */
+  release(
+    row: RemoteCapacity,
+    result: "fine" | "full" | "lost",
+    now: number,
+  ) {
+    row.inFlight -= 1;
+    if (result === "full") row.granted = Math.min(row.granted, row.inFlight);
+    if (result === "lost") row.blockedUntil = now + FAILED_SKIP_MS;
   }
 
-  /** Requests that may be in flight there at once. */
-  allowed(service: ServiceId, room: RemoteRoom, now: number): number {
-    if (room.granted === 0 || room.blockedUntil > now) return 0;
-    const figure = room.granted * aged(now - room.heardAt) *
-      this.#warm(service, room.peer.zone, now);
-    return Math.max(1, Math.floor(figure + ROUNDING));
+  /** Requests that may be in flight at one instance. */
+  allowed(service: ServiceId, row: RemoteCapacity, now: number): number {
+    if (row.granted === 0 || row.blockedUntil > now) return 0;
+    const limit = row.granted * staleFactor(now - row.receivedAt) *
+      this.#rampUpPart(service, row.peer.zone, now);
+    return Math.max(1, Math.floor(limit + ROUNDING_EPSILON));
   }
 
-  /** Forgets instances that are known no more. */
+  /** Removes instances not in `known` once no request is in flight there. */
   retain(known: ReadonlySet<string>): void {
-    for (const rooms of this.#rooms.values()) {
-      for (const [id, room] of rooms) {
-        if (!known.has(id) && room.inFlight === 0) rooms.delete(id);
+    for (const rows of this.#byService.values()) {
+      for (const [id, row] of rows) {
+        if (!known.has(id) && row.inFlight === 0) rows.delete(id);
       }
     }
   }
 
-  #load(service: ServiceId, room: RemoteRoom, now: number): number {
-    return (room.inFlight + 1) / this.allowed(service, room, now);
+  #load(service: ServiceId, row: RemoteCapacity, now: number): number {
+    return (row.inFlight + 1) / this.allowed(service, row, now);
   }
 
-  #warm(service: ServiceId, zone: ZoneId, now: number): number {
-    const known = this.#warmth.get(`${service} ${zone}`);
-    if (known === undefined) return WARM_START;
-    return now - known.usedAt > COLD_AFTER_MS ? WARM_START : known.part;
+  #rampUpPart(service: ServiceId, zone: ZoneId, now: number): number {
+    const known = this.#rampUps.get(`${service} ${zone}`);
+    if (known === undefined) return RAMP_UP_START;
+    return now - known.usedAt > RAMP_UP_RESET_MS ? RAMP_UP_START : known.part;
   }
 
-  #use(service: ServiceId, zone: ZoneId, now: number): void {
+  #recordUse(service: ServiceId, zone: ZoneId, now: number): void {
     const key = `${service} ${zone}`;
-    const part = this.#warm(service, zone, now);
-    const at = this.#warmth.get(key)?.at ?? now;
-    const grown = Math.min(FRESH_MS, now - at) / WARM_MS * (1 - WARM_START);
-    this.#warmth.set(key, {
+    const part = this.#rampUpPart(service, zone, now);
+    const at = this.#rampUps.get(key)?.at ?? now;
+    const grown = Math.min(GRANT_FRESH_MS, now - at) / RAMP_UP_MS *
+      (1 - RAMP_UP_START);
+    this.#rampUps.set(key, {
       part: Math.min(1, part + grown),
       at: now,
       usedAt: now,
@@ -183,21 +189,30 @@
   }
 }
 
-function newRoom(
+function newRemoteCapacity(
   peer: RemotePeer,
   granted: number,
   now: number,
-): RemoteRoom {
-  return { peer, granted, heardAt: now, inFlight: 0, blockedUntil: -Infinity };
+): RemoteCapacity {
+  return {
+    peer,
+    granted,
+    receivedAt: now,
+    inFlight: 0,
+    blockedUntil: -Infinity,
+  };
 }
 
-/** How much of a figure still counts after `ms` milliseconds of silence. */
-export function aged(ms: number): number {
-  if (ms <= FRESH_MS) return 1;
-  return Math.max(CAUTION_PART, 0.5 ** ((ms - FRESH_MS) / HALF_LIFE_MS));
+/** Fraction of a grant that counts `ms` milliseconds after its receipt. */
+export function staleFactor(ms: number): number {
+  if (ms <= GRANT_FRESH_MS) return 1;
+  return Math.max(
+    MIN_GRANT_RATIO,
+    0.5 ** ((ms - GRANT_FRESH_MS) / GRANT_HALF_LIFE_MS),
+  );
 }
 
-/** Stands for an instance among the endpoints that a request was tried at. */
-export function remoteId(peer: RemotePeer): EndpointId {
+/** Endpoint id that represents an instance in a request's list of attempts. */
+export function remoteEndpointId(peer: RemotePeer): EndpointId {
   return `via:${peer.instance}` as EndpointId;
 }
--- a/src/decisions/steering/dispatcher.ts
+++ b/src/decisions/steering/dispatcher.ts
@@ -1,5 +1,6 @@
 /**
- * Which endpoint a request goes to, and whether there is room for it.
+ * The dispatcher interface: selects an endpoint for a request and reserves a
+ * concurrency slot there.
  *
  * @module
  */
@@ -15,51 +16,51 @@
 } from "../../core/mod.ts";
 import type { SteeringDocument } from "../../document/mod.ts";
 
-/** A request as the decision sees it. */
+/** The properties of a request that endpoint selection depends on. */
 export interface SteeringRequest {
   readonly service: ServiceId;
   readonly account: AccountId;
   readonly idempotent: boolean;
-  /** When the caller's patience ends, on the clock of `now`. */
+  /** When the request's deadline expires, on the same clock as `now`. */
   readonly deadline: number;
-  /** Endpoints that this request was already tried at. */
+  /** Endpoints that earlier attempts of this request used. */
   readonly exclude?: ReadonlySet<EndpointId>;
-  /** Kind of work, such as its route; times are learned for each kind. */
+  /** Class of work, such as the route; durations are estimated per class. */
   readonly work?: string;
 }
 
 /**
- * What became of work at an endpoint. After `failed`, `timeout` and
+ * Result of a request at an endpoint. After `failed`, `timeout` and
  * `cancelled` the endpoint may still be running it.
  */
 export type WorkResult = "ok" | "failed" | "shed" | "cancelled" | "timeout";
 
-/** That a slot lies behind another entry instance. */
+/** Route to a slot that is reached through another entry instance. */
 export interface ForwardRoute {
   readonly instance: InstanceId;
   readonly region: RegionId;
-  /** Whether a link between regions lies on the way. */
+  /** Whether the route uses a link between regions. */
   readonly crossesLink: boolean;
 }
 
-/** A slot at an endpoint, held until `release`. */
+/** A concurrency slot at an endpoint, held until `release`. */
 export interface Slot {
   readonly endpoint: EndpointId;
   readonly url: string;
   readonly zone: ZoneId;
-  /** Set where `url` is that of an instance which passes the request on. */
+  /** Set if `url` is that of an instance that forwards the request. */
   readonly forward?: ForwardRoute;
-  /** Tells that the answer began; what follows is the caller's reading pace. */
+  /** Marks the start of the response, which ends the measured duration. */
   answered(now: number): void;
-  /** Gives the slot back; only the first call counts. */
+  /** Releases the slot; repeated calls have no effect. */
   release(result: WorkResult, now: number): void;
 }
 
-/** Hands out slots of healthy endpoints with room. */
+/** Reserves concurrency slots at endpoints. */
 export interface Dispatcher {
   adopt(document: SteeringDocument, now: number): void;
   /**
-   * A slot, now or after a wait that ends before the deadline.
+   * Reserves a slot, at once or after waiting at most until the deadline.
    *
    * Failures: `no_endpoint`, `no_capacity`, `deadline_exceeded`, `cancelled`;
    * all are `not-run`.
@@ -68,6 +69,6 @@
     req: SteeringRequest,
     signal?: AbortSignal,
   ): Promise<Result<Slot, Failure>>;
-  /** Looks at limits and waiting requests again; run once a tick. */
+  /** Refreshes limits and retries waiting requests; called once a tick. */
   tick(now: number): void;
 }
--- a/src/decisions/steering/endpoint_choice.ts
+++ b/src/decisions/steering/endpoint_choice.ts
@@ -1,92 +1,96 @@
 /**
- * Power of two choices among endpoints with room.
+ * Power of two random choices among endpoints with free slots.
  *
- * Answers uneven endpoints and many instances deciding at once. Always taking
- * the least loaded makes all instances take the same one, which shows as load
- * that swings between endpoints; taking any at random leaves some full while
- * others idle. The better of two random ones avoids both (Mitzenmacher 2001).
+ * Handles uneven endpoints and many instances that decide independently. If
+ * all chose the least loaded endpoint, they would choose the same one and load
+ * would oscillate; a purely random choice leaves some endpoints full while
+ * others are idle. The better of two avoids both (Mitzenmacher 2001).
  *
  * @module
  */
 import type { EndpointId, Random } from "../../core/mod.ts";
 import {
+  decayedLatencyRatio,
   type EndpointRow,
+  freeSlots,
   type LoadHint,
-  room,
-  stretchNow,
-  warmth,
+  slowStartFactor,
 } from "./endpoint_row.ts";
 
-/** Random draws before all rows are looked at. */
-const DRAWS = 6;
-/** A hint older than this, in milliseconds, says nothing any more. */
-const HINT_LIFE_MS = 3_000;
-/** A hint that lies can make an endpoint look this much worse, no more. */
-const HINT_WEIGHT = 0.5;
+/** Random draws before falling back to a scan of all rows. */
+const MAX_DRAWS = 6;
+/** The weight of a hint falls linearly to zero over this time. */
+const HINT_TTL_MS = 3_000;
+/** Largest cost increase by a hint, which bounds the effect of a wrong one. */
+const MAX_HINT_PENALTY = 0.5;
 
-/** What a choice is made for. */
-export interface ChoiceQuestion {
+/** Restrictions on the choice. */
+export interface ChoiceCriteria {
   readonly exclude: ReadonlySet<EndpointId> | undefined;
   readonly now: number;
 }
 
-/** The better of two random rows with room; undefined if there is none. */
+/** The cheaper of two random rows with free slots; undefined without any. */
 export function chooseEndpoint(
   rows: readonly EndpointRow[],
-  question: ChoiceQuestion,
+  criteria: ChoiceCriteria,
   random: Random,
 ): EndpointRow | undefined {
-  const first = draw(rows, question, random);
-  if (first === undefined) return anyWithRoom(rows, question);
-  const second = draw(rows, question, random) ?? first;
-  const { now } = question;
+  const first = draw(rows, criteria, random);
+  if (first === undefined) return cheapest(rows, criteria);
+  const second = draw(rows, criteria, random) ?? first;
+  const { now } = criteria;
   return cost(first, now) <= cost(second, now) ? first : second;
 }
 
 function draw(
   rows: readonly EndpointRow[],
-  question: ChoiceQuestion,
+  criteria: ChoiceCriteria,
   random: Random,
 ): EndpointRow | undefined {
   if (rows.length === 0) return undefined;
-  for (let i = 0; i < DRAWS; i++) {
+  for (let i = 0; i < MAX_DRAWS; i++) {
     const row = rows[random.below(rows.length)];
-    if (row && usable(row, question)) return row;
+    if (row && isEligible(row, criteria)) return row;
   }
   return undefined;
 }
 
-function anyWithRoom(
+function cheapest(
   rows: readonly EndpointRow[],
-  question: ChoiceQuestion,
+  criteria: ChoiceCriteria,
 ): EndpointRow | undefined {
-  const { now } = question;
+  const { now } = criteria;
   let best: EndpointRow | undefined;
   for (const row of rows) {
-    if (!usable(row, question)) continue;
+    if (!isEligible(row, criteria)) continue;
     if (best === undefined || cost(row, now) < cost(best, now)) best = row;
   }
   return best;
 }
 
-function usable(row: EndpointRow, { exclude, now }: ChoiceQuestion): boolean {
-  return !exclude?.has(row.id) && room(row, now) > 0;
+function isEligible(
+  row: EndpointRow,
+  { exclude, now }: ChoiceCriteria,
+): boolean {
+  return !exclude?.has(row.id) && freeSlots(row, now) > 0;
 }
 
-/** Expected time at the row: its load, slowness, warmth and what it reports. */
+/** Relative cost of a row from its load, latency, slow start and load hint. */
 function cost(row: EndpointRow, now: number): number {
   const load = (row.inFlight + 1) / Math.max(1, row.slotLimit);
-  return load * stretchNow(row, now) / warmth(row, now) * hinted(row, now);
+  return load * decayedLatencyRatio(row, now) / slowStartFactor(row, now) *
+    hintFactor(row, now);
 }
 
-function hinted(row: EndpointRow, now: number): number {
+function hintFactor(row: EndpointRow, now: number): number {
   const { hint } = row;
   if (hint === undefined) return 1;
-  const trust = Math.max(0, 1 - (now - hint.at) / HINT_LIFE_MS);
-  return 1 + HINT_WEIGHT * trust * badness(hint, row.entry.slots);
+  const trust = Math.max(0, 1 - (now - hint.at) / HINT_TTL_MS);
+  return 1 + MAX_HINT_PENALTY * trust * hintSeverity(hint, row.entry.slots);
 }
 
-function badness(hint: LoadHint, slots: number): number {
+function hintSeverity(hint: LoadHint, slots: number): number {
   if (!hint.reachable) return 1;
   return Math.min(1, (hint.inFlight ?? 0) / slots);
 }
--- a/src/decisions/steering/endpoint_row.ts
+++ b/src/decisions/steering/endpoint_row.ts
@@ -1,20 +1,20 @@
 /**
- * The table row of one endpoint, and how much work it may have.
+ * State of one endpoint at this instance, and its concurrency limit.
  *
- * Answers cold starts and endpoints that slow down under load. Without it a
- * new endpoint gets a full share while its caches are empty, which shows as a
- * latency peak after each change of the endpoint list; and an endpoint whose
- * announced slots are more than it can run keeps them all filled, which shows
- * as its latency rising with nothing gained.
+ * Combines slow start with an adaptive limit. Without slow start a new endpoint
+ * gets a full share while its caches are empty, and latency peaks after each
+ * change of the endpoint list. Without the adaptive limit an endpoint that
+ * declares more slots than it can run is kept full, and its latency rises
+ * without more throughput.
  *
  * @module
  */
 import type { EndpointId, ServiceId } from "../../core/mod.ts";
 import type { EndpointEntry } from "../../document/mod.ts";
 
-/** What an endpoint last said of itself; it lags and may be wrong. */
+/** The last load report of an endpoint; it may be outdated or wrong. */
 export interface LoadHint {
-  /** Its last word on whether it takes work. */
+  /** Whether it last reported that it accepts requests. */
   readonly ready: boolean;
   /** Whether the latest probe was answered at all. */
   readonly reachable: boolean;
@@ -28,127 +28,130 @@
   readonly id: EndpointId;
   readonly service: ServiceId;
   entry: EndpointEntry;
-  /** Slots in use, those of abandoned requests included. */
+  /** Slots in use, including those of abandoned requests. */
   inFlight: number;
-  /** This instance's part of the slots, as last asked. */
+  /** This instance's share of the slots, as last read from the limits. */
   slotLimit: number;
-  /** Concurrency that measured latency allows. */
-  learned: number;
-  /** Smoothed latency as a multiple of what such work usually takes. */
-  stretch: number;
+  /** Concurrency limit derived from measured latency. */
+  adaptiveLimit: number;
+  /** Smoothed ratio of latency to the baseline of the same class of work. */
+  latencyRatio: number;
   /** Latency samples since the last ejection. */
   samples: number;
   sampledAt: number;
-  /** Failures since the last success. */
-  failures: number;
-  /** Ejections or backoffs in a row; each lasts longer. */
-  setbacks: number;
-  /** No new work before this time. */
+  /** Failures since the last success or ejection. */
+  consecutiveFailures: number;
+  /** Consecutive ejections and backoffs, up to a limit; each lasts longer. */
+  backoffLevel: number;
+  /** No new requests before this time. */
   blockedUntil: number;
-  /** Whether the block is an ejection, of which only so many are allowed. */
+  /** Whether the block is an ejection; the number of ejections is limited. */
   ejected: boolean;
-  /** When slow start began; -Infinity for a warm endpoint. */
-  coldSince: number;
-  /** When it began to drain; undefined while it takes work. */
+  /** When slow start begins or began; -Infinity for a warm endpoint. */
+  slowStartSince: number;
+  /** When it began to drain; undefined if it is not draining. */
   drainingSince: number | undefined;
   hint: LoadHint | undefined;
 }
 
 /** Caches of a cold endpoint warm in about this time. */
 export const SLOW_START_MS = 10_000;
-/** Part of its slots that a cold endpoint begins with. */
-const COLD_PART = 0.25;
-/** Stretch beyond which an endpoint is taken to be overloaded. */
-const OVERLOAD_STRETCH = 2;
-/** Decrease by a twentieth a sample: halved after about 14 slow answers. */
-const DECREASE = 0.95;
-/** One more slot after about twice as many answers as there are slots. */
-const INCREASE = 0.5;
-/** Several probes; after that the endpoint may have been replaced unseen. */
-const NOT_READY_MS = 10_000;
-const STRETCH_WEIGHT = 0.2;
-/** Without samples, half of what was learned of slowness is forgotten. */
-const FORGET_HALF_MS = 5_000;
+/** Fraction of its slots that a cold endpoint starts with. */
+const SLOW_START_MIN_FACTOR = 0.25;
+/** Latency ratio above which an endpoint counts as overloaded. */
+const OVERLOAD_LATENCY_RATIO = 2;
+/** 5% less per sample: halved after about 14 slow responses. */
+const LIMIT_DECREASE_FACTOR = 0.95;
+/** One more slot after about twice as many responses as there are slots. */
+const LIMIT_INCREASE_STEP = 0.5;
+/** Several probe intervals; later the endpoint may have been replaced. */
+const NOT_READY_TTL_MS = 10_000;
+const LATENCY_RATIO_WEIGHT = 0.2;
+/** Without samples, excess latency decays with this half-life. */
+const LATENCY_RATIO_HALF_LIFE_MS = 5_000;
 
-/** Makes a row; `cold` starts it slowly. */
-export function makeRow(
+/** Creates a row whose slow start begins at `slowStartSince`. */
+export function newEndpointRow(
   id: EndpointId,
-  of: { service: ServiceId; entry: EndpointEntry },
-  coldSince: number,
+  config: { service: ServiceId; entry: EndpointEntry },
+  slowStartSince: number,
 ): EndpointRow {
   return {
     id,
-    ...of,
+    ...config,
     inFlight: 0,
     slotLimit: 0,
-    learned: of.entry.slots,
-    stretch: 1,
+    adaptiveLimit: config.entry.slots,
+    latencyRatio: 1,
     samples: 0,
     sampledAt: -Infinity,
-    failures: 0,
-    setbacks: 0,
+    consecutiveFailures: 0,
+    backoffLevel: 0,
     blockedUntil: -Infinity,
     ejected: false,
-    coldSince,
+    slowStartSince,
     drainingSince: undefined,
     hint: undefined,
   };
 }
 
-/** How far an endpoint has warmed up, from {@link COLD_PART} to 1. */
-export function warmth(row: EndpointRow, now: number): number {
-  const part = (now - row.coldSince) / SLOW_START_MS;
-  return Math.min(1, Math.max(COLD_PART, part));
+/** Progress of slow start, from {@link SLOW_START_MIN_FACTOR} to 1. */
+export function slowStartFactor(row: EndpointRow, now: number): number {
+  const progress = (now - row.slowStartSince) / SLOW_START_MS;
+  return Math.min(1, Math.max(SLOW_START_MIN_FACTOR, progress));
 }
 
-/** The part of an endpoint's connections that goes with a part of its slots. */
+/** Share of an endpoint's connections in proportion to a share of its slots. */
 export function connectionPart(entry: EndpointEntry, slots: number): number {
   return Math.floor(entry.connections * slots / entry.slots);
 }
 
 /**
- * Whether the endpoint said lately that it takes no work. It is taken at its
- * word even if it should be wrong: work sent to one that leaves is lost.
+ * Whether the endpoint recently reported that it is not ready. The report is
+ * always honoured, because requests sent to a stopping endpoint are lost.
  */
-export function saysNotReady(row: EndpointRow, now: number): boolean {
+export function reportsNotReady(row: EndpointRow, now: number): boolean {
   const { hint } = row;
-  return hint !== undefined && !hint.ready && now - hint.at < NOT_READY_MS;
+  return hint !== undefined && !hint.ready && now - hint.at < NOT_READY_TTL_MS;
 }
 
-/** Requests the row may have in flight at once; never above the slot limit. */
-export function allowance(row: EndpointRow, now: number): number {
+/** Requests that may be in flight at once; never above the slot limit. */
+export function concurrencyLimit(row: EndpointRow, now: number): number {
   if (row.drainingSince !== undefined || row.blockedUntil > now) return 0;
-  if (saysNotReady(row, now)) return 0;
+  if (reportsNotReady(row, now)) return 0;
   const hard = Math.min(
     row.slotLimit,
     connectionPart(row.entry, row.slotLimit),
   );
-  const soft = Math.floor(row.learned * warmth(row, now));
+  const soft = Math.floor(row.adaptiveLimit * slowStartFactor(row, now));
   return Math.min(hard, Math.max(1, soft));
 }
 
-/** Slots that may still be filled. */
-export function room(row: EndpointRow, now: number): number {
-  return Math.max(0, allowance(row, now) - row.inFlight);
+/** Slots that are free now. */
+export function freeSlots(row: EndpointRow, now: number): number {
+  return Math.max(0, concurrencyLimit(row, now) - row.inFlight);
 }
 
-/** Takes in how long an answer took, as a multiple of the usual time. */
-export function learnLatency(
+/** Records a latency sample as its ratio to the baseline. */
+export function recordLatencyRatio(
   row: EndpointRow,
-  stretch: number,
+  latencyRatio: number,
   now: number,
 ): void {
-  row.stretch += STRETCH_WEIGHT * (stretch - row.stretch);
+  row.latencyRatio += LATENCY_RATIO_WEIGHT * (latencyRatio - row.latencyRatio);
   row.samples += 1;
   row.sampledAt = now;
-  row.learned = row.stretch > OVERLOAD_STRETCH
-    ? Math.max(1, row.learned * DECREASE)
-    : Math.min(row.entry.slots, row.learned + INCREASE / row.learned);
+  row.adaptiveLimit = row.latencyRatio > OVERLOAD_LATENCY_RATIO
+    ? Math.max(1, row.adaptiveLimit * LIMIT_DECREASE_FACTOR)
+    : Math.min(
+      row.entry.slots,
+      row.adaptiveLimit + LIMIT_INCREASE_STEP / row.adaptiveLimit,
+    );
 }
 
-/** The stretch to judge by; slowness that nobody has seen lately fades. */
-export function stretchNow(row: EndpointRow, now: number): number {
+/** The latency ratio, decayed towards 1 by the time since the last sample. */
+export function decayedLatencyRatio(row: EndpointRow, now: number): number {
   if (row.sampledAt === -Infinity) return 1;
-  const faded = 0.5 ** ((now - row.sampledAt) / FORGET_HALF_MS);
-  return 1 + (row.stretch - 1) * faded;
+  const decay = 0.5 ** ((now - row.sampledAt) / LATENCY_RATIO_HALF_LIFE_MS);
+  return 1 + (row.latencyRatio - 1) * decay;
 }
--- a/src/decisions/steering/fair_dispatcher.ts
+++ b/src/decisions/steering/fair_dispatcher.ts
@@ -1,6 +1,6 @@
 /**
- * The dispatcher of an instance: a bounded fair queue for each service and
- * the better of two endpoints with room.
+ * Dispatcher with a bounded fair queue for each service and a choice of the
+ * better of two random endpoints.
  *
  * @module
  */
@@ -23,12 +23,15 @@
 } from "../../document/mod.ts";
 import { Drained } from "../drains/mod.ts";
 import type { Dispatcher, Slot, SteeringRequest } from "./dispatcher.ts";
-import { type EndpointRow, type LoadHint, makeRow } from "./endpoint_row.ts";
+import {
+  type EndpointRow,
+  type LoadHint,
+  newEndpointRow,
+} from "./endpoint_row.ts";
 import { noEndpoint } from "./refusals.ts";
 import { ServicePool } from "./service_pool.ts";
 import type { SlotLimits } from "./slot_limits.ts";
 
-/** What a dispatcher needs. */
 export interface FairDispatcherDeps {
   readonly clock: Clock;
   readonly random: Random;
@@ -37,7 +40,7 @@
   readonly limits: SlotLimits;
 }
 
-/** What a dispatcher says of one service. */
+/** Slots and queue of one service at this instance. */
 export interface ServiceLoad {
   readonly service: ServiceId;
   readonly inFlight: number;
@@ -47,7 +50,7 @@
 }
 
 /**
- * Hands out slots at the endpoints of the own availability zone.
+ * Reserves slots at the endpoints of the own availability zone.
  *
  * @example
  * ```ts
@@ -60,7 +63,7 @@
   #pools = new Map<ServiceId, ServicePool>();
   #rows = new Map<EndpointId, EndpointRow>();
   #document: SteeringDocument = emptyDocument();
-  #adopted = false;
+  #hasDocument = false;
 
   constructor(deps: FairDispatcherDeps) {
     this.#deps = deps;
@@ -70,18 +73,18 @@
     this.#deps.limits.adopt(document, now);
     this.#document = document;
     const drained = new Drained(document);
-    const before = this.#rows;
+    const previous = this.#rows;
     this.#rows = new Map();
     for (const [id, service] of Object.entries(document.services)) {
-      this.#adoptService(id as ServiceId, service, { drained, before, now });
+      this.#applyService(id as ServiceId, service, { drained, previous, now });
     }
-    this.#keepRunning(before, now);
+    this.#keepBusyRows(previous, now);
     for (const [id, pool] of this.#pools) {
       if (Object.hasOwn(document.services, id)) continue;
       pool.adopt([], 0, now);
       this.#pools.delete(id);
     }
-    this.#adopted = true;
+    this.#hasDocument = true;
   }
 
   acquire(
@@ -93,18 +96,18 @@
     return pool.acquire(req, signal);
   }
 
-  /** A slot if one is free and nobody waits for it. */
-  tryNow(req: SteeringRequest, now: number): Slot | undefined {
-    return this.#pools.get(req.service)?.tryNow(req, now);
+  /** Reserves a slot if one is free and no queued request can take it. */
+  tryAcquire(req: SteeringRequest, now: number): Slot | undefined {
+    return this.#pools.get(req.service)?.tryAcquire(req, now);
   }
 
-  /** Milliseconds until a request would get a slot; Infinity if none is open. */
-  expectedWait(req: SteeringRequest, now: number): number {
+  /** Estimated milliseconds until a slot is free; Infinity if none can be. */
+  expectedWaitMs(req: SteeringRequest, now: number): number {
     const pool = this.#pools.get(req.service);
-    return pool?.expectedWait(req, now) ?? Infinity;
+    return pool?.expectedWaitMs(req, now) ?? Infinity;
   }
 
-  /** Load of one service here; undefined if the document has no such one. */
+  /** Load of one service here; undefined if the document does not have it. */
   loadOf(service: ServiceId, now: number): ServiceLoad | undefined {
     const pool = this.#pools.get(service);
     return pool && loadOf(service, pool, now);
@@ -129,31 +132,31 @@
     return this.#rows.get(endpoint)?.inFlight ?? 0;
   }
 
-  /** Takes in what an endpoint said of itself; an older report is left out. */
-  hint(endpoint: EndpointId, hint: LoadHint): void {
+  /** Stores an endpoint's load report unless a newer one is known. */
+  hint(endpoint: EndpointId, loadHint: LoadHint): void {
     const row = this.#rows.get(endpoint);
-    if (row && (row.hint === undefined || row.hint.at < hint.at)) {
-      row.hint = hint;
+    if (row && (row.hint === undefined || row.hint.at < loadHint.at)) {
+      row.hint = loadHint;
     }
   }
 
-  #adoptService(
+  #applyService(
     id: ServiceId,
     service: Service,
-    { drained, before, now }: {
+    { drained, previous, now }: {
       drained: Drained;
-      before: ReadonlyMap<EndpointId, EndpointRow>;
+      previous: ReadonlyMap<EndpointId, EndpointRow>;
       now: number;
     },
   ): void {
     const rows = Object.entries(service.endpoints)
       .filter(([, entry]) => entry.zone === this.#deps.zone)
       .map(([endpoint, entry]) => {
-        const known = before.get(endpoint as EndpointId);
-        const of = { service: id, entry };
+        const known = previous.get(endpoint as EndpointId);
+        const config = { service: id, entry };
         const row = known && known.service === id
-          ? update(known, entry)
-          : this.#newRow(endpoint as EndpointId, of, now);
+          ? updateEntry(known, entry)
+          : this.#newRow(endpoint as EndpointId, config, now);
         setDraining(row, drained.endpoint(row.id, entry), now);
         this.#rows.set(row.id, row);
         return row;
@@ -161,22 +164,22 @@
     this.#pool(id).adopt(rows, service.queue_limit, now);
   }
 
-  /** What a removed endpoint still runs counts if the document names it again. */
-  #keepRunning(before: ReadonlyMap<EndpointId, EndpointRow>, now: number) {
-    for (const [id, row] of before) {
+  /** Keeps counting requests at removed endpoints in case they are re-added. */
+  #keepBusyRows(previous: ReadonlyMap<EndpointId, EndpointRow>, now: number) {
+    for (const [id, row] of previous) {
       if (row.inFlight === 0 || this.#rows.has(id)) continue;
       setDraining(row, true, now);
       this.#rows.set(id, row);
     }
   }
 
-  /** Endpoints of the first document are warm: this instance is new, not they. */
+  /** Endpoints of the first document are warm; only this instance is new. */
   #newRow(
     id: EndpointId,
-    of: { service: ServiceId; entry: EndpointEntry },
+    config: { service: ServiceId; entry: EndpointEntry },
     now: number,
   ): EndpointRow {
-    return makeRow(id, of, this.#adopted ? now : -Infinity);
+    return newEndpointRow(id, config, this.#hasDocument ? now : -Infinity);
   }
 
   #pool(service: ServiceId): ServicePool {
@@ -218,17 +221,17 @@
   };
 }
 
-function update(row: EndpointRow, entry: EndpointEntry): EndpointRow {
+function updateEntry(row: EndpointRow, entry: EndpointEntry): EndpointRow {
   row.entry = entry;
-  row.learned = Math.min(row.learned, entry.slots);
+  row.adaptiveLimit = Math.min(row.adaptiveLimit, entry.slots);
   return row;
 }
 
-/** An endpoint that comes back from a drain starts slowly: its caches are cold. */
+/** An endpoint whose drain ends gets slow start: its caches are cold. */
 function setDraining(row: EndpointRow, draining: boolean, now: number): void {
   if (draining) row.drainingSince ??= now;
   else if (row.drainingSince !== undefined) {
     row.drainingSince = undefined;
-    row.coldSince = now;
+    row.slowStartSince = now;
   }
 }
--- a/src/decisions/steering/fair_dispatcher_test.ts
+++ b/src/decisions/steering/fair_dispatcher_test.ts
@@ -12,7 +12,7 @@
 import type { Slot, SteeringRequest } from "./dispatcher.ts";
 import { FairDispatcher } from "./fair_dispatcher.ts";
 import type { SlotLimits } from "./slot_limits.ts";
-import { ABANDON_MARGIN_MS } from "./slot_table.ts";
+import { ABANDONED_SLOT_HOLD_MS } from "./slot_table.ts";
 
 interface Shape {
   readonly slots: readonly number[];
@@ -42,7 +42,7 @@
   })._unsafeUnwrap();
 }
 
-class TableLimits implements SlotLimits {
+class FixedLimits implements SlotLimits {
   readonly slots = new Map<string, number>();
 
   adopt(document: SteeringDocument): void {
@@ -65,7 +65,7 @@
 function setup(shape: Shape) {
   const clock = new ManualClock();
   const metrics = new MemoryMetrics();
-  const limits = new TableLimits();
+  const limits = new FixedLimits();
   const dispatcher = new FairDispatcher({
     clock,
     metrics,
@@ -74,7 +74,7 @@
     zone: "z1" as ZoneId,
   });
   dispatcher.adopt(documentOf(shape), clock.now());
-  const ask = (
+  const acquire = (
     account = "small",
     req: Partial<SteeringRequest> = {},
     signal?: AbortSignal,
@@ -87,55 +87,55 @@
       ...req,
     }, signal);
   const take = async (account?: string, req?: Partial<SteeringRequest>) =>
-    (await ask(account, req))._unsafeUnwrap();
-  /** Teaches the dispatcher how long an account's work takes. */
-  const teach = async (ms: number, account = "small", work = "") => {
+    (await acquire(account, req))._unsafeUnwrap();
+  /** Records 30 requests of the given duration for the account. */
+  const recordDurations = async (ms: number, account = "small", work = "") => {
     for (let i = 0; i < 30; i++) {
       const slot = await take(account, { work });
       clock.advance(ms);
       slot.release("ok", clock.now());
     }
   };
-  return { clock, metrics, limits, dispatcher, ask, take, teach };
+  return { clock, metrics, limits, dispatcher, acquire, take, recordDurations };
 }
 
-test("in-flight work never passes the limit, and a freed slot serves a waiter", async (t) => {
-  const { clock, ask, take } = setup({ slots: [1, 1] });
+test("in-flight requests stay within the limit, and a freed slot serves a queued request", async (t) => {
+  const { clock, acquire, take } = setup({ slots: [1, 1] });
   const held = [await take(), await take()];
   t.not(held[0]?.endpoint, held[1]?.endpoint);
-  const waiting = ask();
+  const waiting = acquire();
   held[0]?.release("ok", clock.now());
   t.is((await waiting)._unsafeUnwrap().endpoint, held[0]!.endpoint);
 });
 
-test("a risen limit serves waiters at the next tick", async (t) => {
-  const { limits, dispatcher, clock, ask, take } = setup({ slots: [2] });
+test("a raised limit serves queued requests at the next tick", async (t) => {
+  const { limits, dispatcher, clock, acquire, take } = setup({ slots: [2] });
   limits.slots.set("e0", 1);
   await take();
-  const waiting = ask();
+  const waiting = acquire();
   limits.slots.set("e0", 2);
   dispatcher.tick(clock.now());
   t.true((await waiting).isOk());
 });
 
-test("a limit that fell since the last tick holds at once", async (t) => {
-  // An instance wakes from a pause and its part of the slots has lapsed. With
-  // the figure of its last tick it would overfill the endpoint; endpoints then
-  // shed and callers see failures at half load.
-  const { limits, ask, clock } = setup({ slots: [2] });
+test("a limit lowered since the last tick applies at once", async (t) => {
+  // An instance resumes after a pause in which its share of the slots expired.
+  // With the limit of its last tick it would overload the endpoint, which then
+  // sheds requests at half load.
+  const { limits, acquire, clock } = setup({ slots: [2] });
   limits.slots.set("e0", 0);
-  const refused = ask("small", { deadline: clock.now() + 50 });
+  const refused = acquire("small", { deadline: clock.now() + 50 });
   clock.advance(50);
   const failure = (await refused)._unsafeUnwrapErr();
   t.is(failure.outcome, "not-run");
 });
 
-test("what cannot be served before its deadline is refused at once", async (t) => {
-  const { ask, take, teach, clock } = setup({ slots: [1] });
-  await teach(100);
+test("a request that cannot be served before its deadline is refused at once", async (t) => {
+  const { acquire, take, recordDurations, clock } = setup({ slots: [1] });
+  await recordDurations(100);
   await take();
   const early = clock.now();
-  const failure = (await ask("small", { deadline: early + 120 }))
+  const failure = (await acquire("small", { deadline: early + 120 }))
     ._unsafeUnwrapErr();
   t.is(clock.now(), early);
   t.is(failure.code, "no_capacity");
@@ -143,49 +143,48 @@
   t.true((failure.retryAfterMs ?? 0) > 0);
 });
 
-test("deadline and abort remove a waiter at once", async (t) => {
-  const { ask, take, clock } = setup({ slots: [1] });
+test("an expired deadline or an abort removes a queued request at once", async (t) => {
+  const { acquire, take, clock } = setup({ slots: [1] });
   const slot = await take();
-  const gone = new AbortController();
-  const waiting = ask("small", { deadline: clock.now() + 100 });
-  const leaving = ask("small", {}, gone.signal);
-  gone.abort();
-  t.is((await leaving)._unsafeUnwrapErr().code, "cancelled");
+  const controller = new AbortController();
+  const waiting = acquire("small", { deadline: clock.now() + 100 });
+  const cancelled = acquire("small", {}, controller.signal);
+  controller.abort();
+  t.is((await cancelled)._unsafeUnwrapErr().code, "cancelled");
   clock.advance(100);
   t.is((await waiting)._unsafeUnwrapErr().code, "deadline_exceeded");
   slot.release("ok", clock.now());
-  t.true((await ask()).isOk());
+  t.true((await acquire()).isOk());
 });
 
-test("an account that fills the queue costs another only its turn", async (t) => {
-  // One tenant sends far more than the slots serve. In a first-come queue the
-  // other's request would wait behind all of it, and its users would see
-  // timeouts caused by a stranger.
-  const { ask, take, clock } = setup({ slots: [1], queueLimit: 8 });
+test("an account that fills the queue does not delay another account", async (t) => {
+  // One account sends far more than the slots can serve. In a FIFO queue the
+  // other account's requests would wait behind all of them and time out.
+  const { acquire, take, clock } = setup({ slots: [1], queueLimit: 8 });
   const first = await take("big");
   const order: string[] = [];
-  const follow = (account: string) =>
-    void ask(account).then((r) => {
+  const enqueue = (account: string) =>
+    void acquire(account).then((r) => {
       if (r.isErr()) return;
       order.push(account);
       r.value.release("ok", clock.now());
     });
-  for (let i = 0; i < 12; i++) follow("big");
-  follow("small");
-  follow("small");
+  for (let i = 0; i < 12; i++) enqueue("big");
+  enqueue("small");
+  enqueue("small");
   first.release("ok", clock.now());
   await flush();
   t.is(order.length, 8);
   t.deepEqual(order.slice(0, 4).filter((a) => a === "small").length, 2);
 });
 
-test("turns follow the weights", async (t) => {
-  const { ask, take, clock } = setup({ slots: [1] });
+test("accounts are served in proportion to their weights", async (t) => {
+  const { acquire, take, clock } = setup({ slots: [1] });
   const first = await take("small");
   const order: string[] = [];
   for (const account of ["big", "heavy"]) {
     for (let i = 0; i < 12; i++) {
-      void ask(account).then((r) => {
+      void acquire(account).then((r) => {
         if (r.isErr()) return;
         order.push(account);
         r.value.release("ok", clock.now());
@@ -195,19 +194,19 @@
   first.release("ok", clock.now());
   await flush();
   const heavy = order.slice(0, 12).filter((a) => a === "heavy").length;
-  t.true(heavy >= 8 && heavy <= 10, `heavy had ${heavy} of 12 turns`);
+  t.true(heavy >= 8 && heavy <= 10, `heavy was served ${heavy} of 12 times`);
 });
 
-test("long work leaves slots to short work", async (t) => {
-  // A report that takes seconds is asked for many times over. Without a bound
-  // it fills every slot, and quick reads wait for seconds.
-  const { take, teach, ask } = setup({ slots: [4] });
-  await teach(10, "small", "read");
-  await teach(500, "big", "report");
-  await teach(10, "small", "read");
+test("long requests leave slots for short ones", async (t) => {
+  // Many requests for a report that takes seconds. Without a limit they hold
+  // every slot, and quick reads wait for seconds.
+  const { take, recordDurations, acquire } = setup({ slots: [4] });
+  await recordDurations(10, "small", "read");
+  await recordDurations(500, "big", "report");
+  await recordDurations(10, "small", "read");
   const slots: Slot[] = [];
   for (let i = 0; i < 8; i++) {
-    void ask("big", { work: "report", deadline: 1e9 }).then((r) => {
+    void acquire("big", { work: "report", deadline: 1e9 }).then((r) => {
       if (r.isOk()) slots.push(r.value);
     });
   }
@@ -216,7 +215,7 @@
   await take("small", { work: "read" });
 });
 
-const LINGERING = [
+const RELEASES = [
   { result: "cancelled", heldMs: 1_000 },
   { result: "failed", heldMs: 1_000 },
   { result: "timeout", heldMs: 1_000 },
@@ -224,10 +223,10 @@
   { result: "ok", heldMs: 0 },
 ] as const;
 
-for (const { result, heldMs } of LINGERING) {
-  test(`a slot that ended as ${result} is held ${heldMs} ms longer`, async (t) => {
-    // The caller is gone but the endpoint has not yet noticed. A slot handed
-    // out again at once runs one request too many there.
+for (const { result, heldMs } of RELEASES) {
+  test(`a slot released as ${result} is held ${heldMs} ms longer`, async (t) => {
+    // The endpoint may still be running an abandoned request. Reusing the slot
+    // at once would run one request too many there.
     const { clock, dispatcher, take } = setup({ slots: [1] });
     const slot = await take("small", { deadline: 10_000 });
     slot.release(result, clock.now());
@@ -242,23 +241,23 @@
 }
 
 test("no more than half of the endpoints are ejected", async (t) => {
-  // The instance's own network breaks and every endpoint seems to fail.
-  // Ejecting all would refuse what some could still serve.
+  // The instance's own network fails, so that every endpoint seems to fail.
+  // Ejecting all would refuse requests that some could still serve.
   const { clock, dispatcher, take } = setup({ slots: [4, 4, 4, 4] });
-  let most = 0;
+  let maxEjected = 0;
   for (let i = 0; i < 200; i++) {
     (await take()).release("failed", clock.now());
-    clock.advance(ABANDON_MARGIN_MS);
+    clock.advance(ABANDONED_SLOT_HOLD_MS);
     const ejected = dispatcher.rows().filter((r) =>
       r.ejected && r.blockedUntil > clock.now()
     );
-    most = Math.max(most, ejected.length);
+    maxEjected = Math.max(maxEjected, ejected.length);
   }
-  t.is(most, 2);
+  t.is(maxEjected, 2);
 });
 
-test("a slow endpoint gets little work beside quick ones", async (t) => {
-  const { clock, take, ask } = setup({ slots: [4, 4, 4] });
+test("a slow endpoint gets few requests beside fast ones", async (t) => {
+  const { clock, take, acquire } = setup({ slots: [4, 4, 4] });
   const counts = new Map<string, number>();
   const running: { slot: Slot; ends: number }[] = [];
   await take().then((s) => s.release("ok", clock.now()));
@@ -268,7 +267,7 @@
       if (ends <= clock.now()) slot.release("ok", clock.now());
       else running.push({ slot, ends });
     }
-    void ask().then((r) => {
+    void acquire().then((r) => {
       if (r.isErr()) return;
       const { endpoint } = r.value;
       counts.set(endpoint, (counts.get(endpoint) ?? 0) + 1);
@@ -277,17 +276,17 @@
     });
     await Promise.resolve();
   }
-  t.true((counts.get("e0") ?? 0) < 60, `slow had ${counts.get("e0")}`);
+  t.true((counts.get("e0") ?? 0) < 60, `slow one got ${counts.get("e0")}`);
 });
 
-test("a draining endpoint gets no new work and its drain is timed", async (t) => {
+test("a draining endpoint gets no new requests and its drain is timed", async (t) => {
   const shape = { slots: [1, 1] };
-  const { clock, dispatcher, metrics, take, ask } = setup(shape);
+  const { clock, dispatcher, metrics, take, acquire } = setup(shape);
   const held = [await take(), await take()];
   const e0 = held.find((s) => s.endpoint === "e0");
   const drains = [{ kind: "endpoint", id: "e0" }];
   dispatcher.adopt(documentOf({ ...shape, drains }), clock.now());
-  const waiting = ask();
+  const waiting = acquire();
   clock.advance(40);
   e0?.release("ok", clock.now());
   t.is(metrics.counts.get("endpoint.drain.samples"), 1);
@@ -295,12 +294,12 @@
   t.is((await waiting)._unsafeUnwrap().endpoint, "e1" as EndpointId);
 });
 
-test("a new endpoint starts slowly", async (t) => {
-  const { clock, dispatcher, ask } = setup({ slots: [8] });
+test("a new endpoint gets slow start", async (t) => {
+  const { clock, dispatcher, acquire } = setup({ slots: [8] });
   dispatcher.adopt(documentOf({ slots: [8, 8] }), clock.now());
   const slots: string[] = [];
   for (let i = 0; i < 16; i++) {
-    void ask().then((r) => r.isOk() && slots.push(r.value.endpoint));
+    void acquire().then((r) => r.isOk() && slots.push(r.value.endpoint));
   }
   await flush();
   t.is(slots.filter((e) => e === "e1").length, 2);
--- a/src/decisions/steering/mod.ts
+++ b/src/decisions/steering/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Where work goes.
+ * Selects an endpoint of the own availability zone for each request.
  *
  * @module
  */
--- a/src/decisions/steering/probe_schedule.ts
+++ b/src/decisions/steering/probe_schedule.ts
@@ -1,11 +1,10 @@
 /**
- * Which endpoints this instance probes, and when.
+ * Decides which endpoints this instance probes, and when.
  *
- * Answers the cost of probes and endpoints that leave on their own. If every
- * instance probed every endpoint, the probes would grow with the instances and
- * take slots' time from requests, which shows as endpoint load that rises with
- * the number of instances. So one member of a zone probes an endpoint and
- * tells the others. Jitter keeps the probes of many from falling together.
+ * Probes detect endpoints that stop on their own. If every instance probed
+ * every endpoint, the load on endpoints would rise with the number of
+ * instances. So one instance of a zone probes an endpoint and shares the
+ * result with the others. Jitter keeps probes from being synchronized.
  *
  * @module
  */
@@ -13,18 +12,18 @@
 import { ownerOf } from "./rendezvous.ts";
 
 /**
- * Time between probes of an endpoint. With a second for it to be told on, a
- * leaving endpoint is known within two; at 6 ms a probe this is 0.6% of one
- * slot's time.
+ * Time between probes of an endpoint. With a second to share the result, a
+ * stopping endpoint is detected within two; at 6 ms a probe this takes 0.6% of
+ * one slot's time.
  */
-export const PROBE_EVERY_MS = 1_000;
-const JITTER = 0.2;
+export const PROBE_INTERVAL_MS = 1_000;
+const JITTER_RATIO = 0.2;
 
-/** Probes that fall to one instance. */
+/** Schedules the probes assigned to one instance by rendezvous hashing. */
 export class ProbeSchedule {
   readonly #self: string;
   readonly #random: Random;
-  readonly #due = new Map<EndpointId, number>();
+  readonly #dueAt = new Map<EndpointId, number>();
 
   constructor(self: string, random: Random) {
     this.#self = self;
@@ -34,32 +33,32 @@
   /** Endpoints to probe now, given the live instances of the zone. */
   due(
     endpoints: readonly EndpointId[],
-    zoneMates: readonly string[],
+    zonePeers: readonly string[],
     now: number,
   ): EndpointId[] {
-    const members = [this.#self, ...zoneMates];
+    const members = [this.#self, ...zonePeers];
     const mine = endpoints.filter((e) => ownerOf(e, members) === this.#self);
-    this.#forget(new Set(mine));
+    this.#retain(new Set(mine));
     return mine.filter((endpoint) => this.#isDue(endpoint, now));
   }
 
   #isDue(endpoint: EndpointId, now: number): boolean {
-    const due = this.#due.get(endpoint);
+    const due = this.#dueAt.get(endpoint);
     if (due !== undefined && now < due) return false;
-    // The first probe comes at a random point of the period.
+    // The first probe is due at a random point of the interval.
     const first = due === undefined;
     const wait = first ? this.#random.next() : 1 + this.#jitter();
-    this.#due.set(endpoint, now + PROBE_EVERY_MS * wait);
+    this.#dueAt.set(endpoint, now + PROBE_INTERVAL_MS * wait);
     return !first;
   }
 
   #jitter(): number {
-    return JITTER * (2 * this.#random.next() - 1);
+    return JITTER_RATIO * (2 * this.#random.next() - 1);
   }
 
-  #forget(mine: ReadonlySet<EndpointId>): void {
-    for (const endpoint of this.#due.keys()) {
-      if (!mine.has(endpoint)) this.#due.delete(endpoint);
+  #retain(mine: ReadonlySet<EndpointId>): void {
+    for (const endpoint of this.#dueAt.keys()) {
+      if (!mine.has(endpoint)) this.#dueAt.delete(endpoint);
     }
   }
 }
--- a/src/decisions/steering/refusals.ts
+++ b/src/decisions/steering/refusals.ts
@@ -1,43 +1,43 @@
 /**
- * Refusals of the dispatcher: typed, with outcome `not-run`, and with the time
- * after which a request could be taken.
+ * Failures returned by the dispatcher: typed, with outcome `not-run` and, where
+ * it can be estimated, the time after which to retry.
  *
  * @module
  */
 import type { Result } from "neverthrow";
 import { fail, type Failure, type ServiceId } from "../../core/mod.ts";
 
-/** When to come back to a service without a slot here: about two ticks. */
+/** Retry delay for a service without a slot here: about two ticks. */
 export const NO_SLOT_RETRY_MS = 250;
 const MIN_RETRY_MS = 10;
 
-/** A truthful time to come back, in whole milliseconds. */
-export function retryAfter(ms: number): number {
+/** Rounds an estimated wait up to a retry delay in whole milliseconds. */
+export function toRetryDelayMs(ms: number): number {
   return Number.isFinite(ms)
     ? Math.max(MIN_RETRY_MS, Math.ceil(ms))
     : NO_SLOT_RETRY_MS;
 }
 
-/** Says that a service has no room, and when it may have. */
+/** The service has no capacity; includes when to retry. */
 export function noCapacity(
   service: ServiceId,
   why: string,
   retryMs: number,
 ): Result<never, Failure> {
-  return fail("no_capacity", `service ${service} has no room: ${why}`, {
+  return fail("no_capacity", `service ${service} has no capacity: ${why}`, {
     outcome: "not-run",
-    retryAfterMs: retryAfter(retryMs),
+    retryAfterMs: toRetryDelayMs(retryMs),
   });
 }
 
-/** Says that a service has no endpoint that takes work here. */
+/** The service has no endpoint here that accepts requests. */
 export function noEndpoint(service: ServiceId): Result<never, Failure> {
   return fail("no_endpoint", `service ${service} has no endpoint here`, {
     outcome: "not-run",
   });
 }
 
-/** Says that the caller left before anything was sent. */
+/** The caller cancelled before anything was sent. */
 export function cancelled(): Result<never, Failure> {
   return fail("cancelled", "the caller went away", { outcome: "not-run" });
 }
--- a/src/decisions/steering/rendezvous.ts
+++ b/src/decisions/steering/rendezvous.ts
@@ -1,7 +1,7 @@
 /**
- * Rendezvous hashing (Thaler and Ravishankar 1998): every member works out
- * the same owner of a key from the members alone, and when one goes only its
- * own keys move.
+ * Rendezvous hashing (Thaler and Ravishankar 1998): every member computes the
+ * same owner of a key from the member list alone, and when a member leaves
+ * only its own keys move.
  *
  * @module
  */
--- a/src/decisions/steering/round_robin_dispatcher.ts
+++ b/src/decisions/steering/round_robin_dispatcher.ts
@@ -1,11 +1,11 @@
 /**
- * The plain baseline: endpoints of the own availability zone in turn, slots
- * split evenly over the zone's instances, and no queue.
+ * Baseline dispatcher: round robin over the endpoints of the own availability
+ * zone, without a queue.
  *
- * What goes wrong with it: one instance refuses while its neighbour has slots
- * free, a burst is refused that a short wait would have served, and a slow
- * endpoint gets as much work as a quick one. Callers see refusals at half
- * load and a long tail.
+ * Its weaknesses: with evenly split slots one instance refuses while another
+ * has free ones, a burst is refused that a short wait could serve, and a slow
+ * endpoint gets as many requests as a fast one. Callers see refusals at half
+ * load and high tail latency.
  *
  * @module
  */
@@ -28,15 +28,15 @@
   inFlight: number;
 }
 
-const RETRY_AFTER_MS = 100;
+const RETRY_DELAY_MS = 100;
 
-/** Round robin over the zone's endpoints, without waiting. */
+/** Round robin over the zone's endpoints without queueing. */
 export class RoundRobinDispatcher implements Dispatcher {
   readonly #clock: Clock;
   readonly #zone: ZoneId;
   readonly #limits: SlotLimits;
   #rows = new Map<ServiceId, EndpointRow[]>();
-  #turn = 0;
+  #nextIndex = 0;
 
   constructor(clock: Clock, zone: ZoneId, limits: SlotLimits) {
     this.#clock = clock;
@@ -46,12 +46,12 @@
 
   adopt(document: SteeringDocument, now: number): void {
     this.#limits.adopt(document, now);
-    const before = this.#rows;
+    const previous = this.#rows;
     this.#rows = new Map();
     const drained = new Set<string>(document.drains.map((d) => d.id));
     for (const [id, service] of Object.entries(document.services)) {
       const serviceId = id as ServiceId;
-      const known = new Map(before.get(serviceId)?.map((r) => [r.id, r]));
+      const known = new Map(previous.get(serviceId)?.map((r) => [r.id, r]));
       const rows = Object.entries(service.endpoints)
         .filter(([id, e]) => e.zone === this.#zone && !drained.has(id))
         .map(([id, entry]) => makeRow(id as EndpointId, entry, known));
@@ -78,15 +78,15 @@
     }
     const now = this.#clock.now();
     for (let i = 0; i < rows.length; i++) {
-      const row = rows[this.#turn++ % rows.length];
+      const row = rows[this.#nextIndex++ % rows.length];
       if (row === undefined || req.exclude?.has(row.id)) continue;
       if (row.inFlight < this.#limits.limit(row.id, now)) {
         return ok(this.#take(row));
       }
     }
-    return fail("no_capacity", `service ${req.service} has no room`, {
+    return fail("no_capacity", `service ${req.service} has no capacity`, {
       outcome: "not-run",
-      retryAfterMs: RETRY_AFTER_MS,
+      retryAfterMs: RETRY_DELAY_MS,
     });
   }
 
--- a/src/decisions/steering/service_pool.ts
+++ b/src/decisions/steering/service_pool.ts
@@ -1,11 +1,11 @@
 /**
- * Admission and waiting for one service.
+ * Admission control and queueing for one service.
  *
- * Answers bursts and saturation. Without a queue a burst is refused that a
- * short wait would have served; with an unbounded one every request waits
- * until its deadline and is then useless, which shows as full slots and no
- * goodput. So a request waits only where it can still end in time, and is
- * otherwise refused at once with the time after which it could be taken.
+ * Handles bursts and saturation. Without a queue, a burst that a short wait
+ * could serve is refused; with an unbounded one, every request waits until its
+ * deadline, and slots are full without goodput. So a request is queued only if
+ * it can still complete in time, and is otherwise refused at once with the time
+ * after which to retry.
  *
  * @module
  */
@@ -22,19 +22,18 @@
 import type { Slot, SteeringRequest } from "./dispatcher.ts";
 import type { EndpointRow } from "./endpoint_row.ts";
 import { FairQueue, type Waiter } from "./fair_queue.ts";
-import { LongWork } from "./long_work.ts";
+import { LongRequestLimiter } from "./long_request_limiter.ts";
 import {
   cancelled,
   NO_SLOT_RETRY_MS,
   noCapacity,
   noEndpoint,
-  retryAfter,
+  toRetryDelayMs,
 } from "./refusals.ts";
 import type { SlotLimits } from "./slot_limits.ts";
 import { SlotTable } from "./slot_table.ts";
-import { WorkTimes } from "./work_times.ts";
+import { DurationEstimator } from "./duration_estimator.ts";
 
-/** What a pool needs. */
 export interface ServicePoolDeps {
   readonly service: ServiceId;
   readonly clock: Clock;
@@ -50,31 +49,31 @@
   readonly settle: (result: Result<Slot, Failure>) => void;
 }
 
-/** A queue that was not empty for this long is no burst any more. */
-const STANDING_MS = 500;
-/** Typical times of work that may be waited in a standing queue. */
-const STANDING_WAITS = 1;
-const LEAST_WAIT_MS = 20;
+/** A queue not empty for this long is a standing queue and not a burst. */
+const STANDING_QUEUE_MS = 500;
+/** Longest wait in a standing queue, as a multiple of the typical duration. */
+const STANDING_QUEUE_WAIT_RATIO = 1;
+const MIN_STANDING_QUEUE_WAIT_MS = 20;
 
 /** The queue and slots of one service at one instance. */
 export class ServicePool {
   readonly #deps: ServicePoolDeps;
-  readonly #times = new WorkTimes();
+  readonly #durations = new DurationEstimator();
   readonly #queue: FairQueue<QueuedRequest>;
   readonly #slots: SlotTable;
-  readonly #long = new LongWork();
+  readonly #longRequests = new LongRequestLimiter();
   #queueLimit = 0;
-  #turnedAway = 0;
-  #full = false;
-  #emptyAt = -Infinity;
+  #unservedSinceTick = 0;
+  #isFull = false;
+  #lastEmptyAt = -Infinity;
 
   constructor(deps: ServicePoolDeps) {
     this.#deps = deps;
     this.#queue = new FairQueue(deps.weightOf);
     this.#slots = new SlotTable({
       ...deps,
-      times: this.#times,
-      onFree: (now) => this.#pump(now),
+      durations: this.#durations,
+      onFree: (now) => this.#serveQueue(now),
     });
   }
 
@@ -95,12 +94,12 @@
     return this.#slots.capacity(now);
   }
 
-  /** Slots free and wanted by nobody here. */
+  /** Free slots beyond those that queued requests will take. */
   free(now: number): number {
     return Math.max(0, this.#slots.free(now) - this.#queue.size);
   }
 
-  /** Takes over endpoints and queue limit of a newly accepted document. */
+  /** Applies the endpoints and queue limit of a newly accepted document. */
   adopt(
     rows: readonly EndpointRow[],
     queueLimit: number,
@@ -109,32 +108,32 @@
     this.#slots.rows = rows;
     this.#queueLimit = queueLimit;
     this.#slots.refresh(now, this.#queue.size);
-    if (!this.#open()) this.#refuseAll();
-    this.#pump(now);
+    if (!this.#hasOpenEndpoint()) this.#refuseAll();
+    this.#serveQueue(now);
   }
 
   tick(now: number): void {
-    this.#times.forget(now);
-    this.#queue.forget();
-    this.#slots.refresh(now, this.#queue.size + this.#turnedAway);
-    this.#turnedAway = 0;
-    this.#pump(now);
+    this.#durations.evictIdle(now);
+    this.#queue.pruneFinishTags();
+    this.#slots.refresh(now, this.#queue.size + this.#unservedSinceTick);
+    this.#unservedSinceTick = 0;
+    this.#serveQueue(now);
   }
 
-  /** A slot if one is free that nobody who waits may take. */
-  tryNow(req: SteeringRequest, now: number): Slot | undefined {
-    this.#pump(now);
-    if (this.#full) return undefined;
-    const { cost, long } = this.#assess(req, now);
-    const slot = this.#take(req, long, now);
+  /** Reserves a slot if one is free that no queued request can take. */
+  tryAcquire(req: SteeringRequest, now: number): Slot | undefined {
+    this.#serveQueue(now);
+    if (this.#isFull) return undefined;
+    const { cost, long } = this.#classify(req, now);
+    const slot = this.#takeSlot(req, long, now);
     if (slot !== undefined) this.#queue.charge(req.account, cost);
     return slot;
   }
 
-  /** Milliseconds until a request of the account would get a slot here. */
-  expectedWait(req: SteeringRequest, now: number): number {
-    if (!this.#open(req.exclude)) return Infinity;
-    return this.#expectedWait(req.account, now);
+  /** Estimated milliseconds until a request would get a slot here. */
+  expectedWaitMs(req: SteeringRequest, now: number): number {
+    if (!this.#hasOpenEndpoint(req.exclude)) return Infinity;
+    return this.#expectedWaitMs(req.account, now);
   }
 
   acquire(
@@ -143,78 +142,87 @@
   ): Promise<Result<Slot, Failure>> {
     if (signal?.aborted) return Promise.resolve(cancelled());
     const now = this.#deps.clock.now();
-    const slot = this.tryNow(req, now);
+    const slot = this.tryAcquire(req, now);
     if (slot !== undefined) return Promise.resolve(ok(slot));
-    const { cost, long } = this.#assess(req, now);
+    const { cost, long } = this.#classify(req, now);
     const refused = this.#refusal(req, cost, now);
     if (refused !== undefined) {
-      this.#turnedAway += 1;
+      this.#unservedSinceTick += 1;
       return Promise.resolve(refused);
     }
-    return this.#wait({ account: req.account, cost, req, long }, signal);
+    return this.#enqueue({ account: req.account, cost, req, long }, signal);
   }
 
-  #assess(req: SteeringRequest, now: number): { cost: number; long: boolean } {
-    const cost = this.#times.expected(req.account, req.work ?? "");
-    const long = this.#long.isLong(cost, this.#times.typical, now);
+  #classify(
+    req: SteeringRequest,
+    now: number,
+  ): { cost: number; long: boolean } {
+    const cost = this.#durations.expectedMs(req.account, req.work ?? "");
+    const long = this.#longRequests.isLong(
+      cost,
+      this.#durations.typicalMs,
+      now,
+    );
     return { cost, long };
   }
 
-  /** Whether any endpoint may be tried, now or later. */
-  #open(exclude?: ReadonlySet<EndpointId>): boolean {
+  /** Whether any endpoint is neither draining nor excluded. */
+  #hasOpenEndpoint(exclude?: ReadonlySet<EndpointId>): boolean {
     return this.rows.some((r) =>
       r.drainingSince === undefined && !exclude?.has(r.id)
     );
   }
 
-  /** Why a request must not wait; undefined if it may. */
+  /** The refusal of a request that may not be queued; undefined if it may. */
   #refusal(
     req: SteeringRequest,
     cost: number,
     now: number,
   ): Result<never, Failure> | undefined {
-    if (!this.#open(req.exclude)) return noEndpoint(req.service);
-    const waitMs = this.#expectedWait(req.account, now);
+    if (!this.#hasOpenEndpoint(req.exclude)) return noEndpoint(req.service);
+    const waitMs = this.#expectedWaitMs(req.account, now);
     if (!Number.isFinite(waitMs)) {
-      return noCapacity(req.service, "no slot", NO_SLOT_RETRY_MS);
+      return noCapacity(req.service, "no usable slot", NO_SLOT_RETRY_MS);
     }
-    const late = now + waitMs + this.#within(req) - req.deadline;
-    if (late > 0) return noCapacity(req.service, "too long a wait", late);
-    const over = waitMs - this.#longestWait(now);
-    if (over > 0) return noCapacity(req.service, "a standing queue", over);
+    const late = now + waitMs + this.#upperBoundMs(req) - req.deadline;
+    if (late > 0) return noCapacity(req.service, "wait too long", late);
+    const over = waitMs - this.#maxWaitMs(now);
+    if (over > 0) return noCapacity(req.service, "standing queue", over);
     if (this.#queue.size < this.#queueLimit) return undefined;
     const victim = this.#queue.victimFor(req.account);
     if (victim === undefined) {
-      return noCapacity(req.service, "a full queue", waitMs + cost);
+      return noCapacity(req.service, "queue full", waitMs + cost);
     }
-    this.#turnedAway += 1;
-    victim.settle(noCapacity(req.service, "a full queue", waitMs + cost));
+    this.#unservedSinceTick += 1;
+    victim.settle(noCapacity(req.service, "queue full", waitMs + cost));
     return undefined;
   }
 
   /**
-   * A queue that a burst left may be waited in up to the deadline. One that
-   * has not been empty for long only adds its length to every answer's time;
-   * there just as much may wait as keeps the slots busy.
+   * After a burst, requests may wait up to their deadline. A standing queue
+   * only adds latency, so its length is limited to what keeps the slots busy.
    */
-  #longestWait(now: number): number {
-    if (now - this.#emptyAt <= STANDING_MS) return Infinity;
-    return Math.max(LEAST_WAIT_MS, STANDING_WAITS * this.#times.typical);
+  #maxWaitMs(now: number): number {
+    if (now - this.#lastEmptyAt <= STANDING_QUEUE_MS) return Infinity;
+    return Math.max(
+      MIN_STANDING_QUEUE_WAIT_MS,
+      STANDING_QUEUE_WAIT_RATIO * this.#durations.typicalMs,
+    );
   }
 
-  /** Milliseconds until a request that comes now would get a slot. */
-  #expectedWait(account: AccountId, now: number): number {
+  /** Estimated milliseconds until a new request would get a slot. */
+  #expectedWaitMs(account: AccountId, now: number): number {
     const capacity = this.#slots.capacity(now);
-    const ahead = this.#queue.costAhead(account) + this.#times.typical;
+    const ahead = this.#queue.costAhead(account) + this.#durations.typicalMs;
     if (capacity > 0) return ahead / capacity;
     return this.#slots.unblockedAt(now) - now + ahead;
   }
 
-  #within(req: SteeringRequest): number {
-    return this.#times.within(req.account, req.work ?? "");
+  #upperBoundMs(req: SteeringRequest): number {
+    return this.#durations.within(req.account, req.work ?? "");
   }
 
-  #wait(
+  #enqueue(
     queued: Omit<QueuedRequest, "settle">,
     signal: AbortSignal | undefined,
   ): Promise<Result<Slot, Failure>> {
@@ -230,54 +238,59 @@
         resolve(result);
       },
     };
-    // Later than this the request could not end in time even if it started.
-    const patience = queued.req.deadline - this.#within(queued.req);
-    const timer = clock.after(Math.max(0, patience - clock.now()), () => {
-      this.#turnedAway += 1;
-      waiter.settle(this.#tooLate(queued.req));
+    // A request that starts later than this cannot complete in time.
+    const latestStartAt = queued.req.deadline - this.#upperBoundMs(queued.req);
+    const timer = clock.after(Math.max(0, latestStartAt - clock.now()), () => {
+      this.#unservedSinceTick += 1;
+      waiter.settle(this.#deadlineExceeded(queued.req));
     });
     signal?.addEventListener("abort", onAbort);
     this.#queue.push(waiter);
-    this.#pump(clock.now());
+    this.#serveQueue(clock.now());
     return promise;
   }
 
-  #tooLate(req: SteeringRequest): Result<never, Failure> {
-    const waitMs = this.#expectedWait(req.account, this.#deps.clock.now());
-    const message = `service ${req.service} had no room before the deadline`;
+  #deadlineExceeded(req: SteeringRequest): Result<never, Failure> {
+    const waitMs = this.#expectedWaitMs(req.account, this.#deps.clock.now());
+    const message =
+      `service ${req.service} had no free slot before the deadline`;
     return fail("deadline_exceeded", message, {
       outcome: "not-run",
-      retryAfterMs: retryAfter(waitMs),
+      retryAfterMs: toRetryDelayMs(waitMs),
     });
   }
 
-  #pump(now: number): void {
-    this.#full = false;
-    while (this.#queue.size > 0 && !this.#full) {
+  #serveQueue(now: number): void {
+    this.#isFull = false;
+    while (this.#queue.size > 0 && !this.#isFull) {
       let slot: Slot | undefined;
-      const waiter = this.#queue.serve((w) => {
-        slot = this.#take(w.req, w.long, now);
+      const waiter = this.#queue.startNext((w) => {
+        slot = this.#takeSlot(w.req, w.long, now);
         if (slot !== undefined) return "started";
-        return this.#full ? "full" : "later";
+        return this.#isFull ? "full" : "later";
       });
       if (waiter === undefined || slot === undefined) return;
       waiter.settle(ok(slot));
     }
-    if (this.#queue.size === 0) this.#emptyAt = now;
+    if (this.#queue.size === 0) this.#lastEmptyAt = now;
   }
 
-  #take(req: SteeringRequest, long: boolean, now: number): Slot | undefined {
-    if (long && !this.#long.mayRun(this.#slots.capacity(now), now)) {
+  #takeSlot(
+    req: SteeringRequest,
+    long: boolean,
+    now: number,
+  ): Slot | undefined {
+    if (long && !this.#longRequests.mayStart(this.#slots.capacity(now), now)) {
       return undefined;
     }
     const slot = this.#slots.take(req, now);
     if (slot === undefined) {
       if (req.exclude === undefined || req.exclude.size === 0) {
-        this.#full = true;
+        this.#isFull = true;
       }
       return undefined;
     }
-    return long ? this.#long.count(slot) : slot;
+    return long ? this.#longRequests.count(slot) : slot;
   }
 
   #refuseAll(): void {
--- a/src/decisions/steering/slot_limits.ts
+++ b/src/decisions/steering/slot_limits.ts
@@ -1,5 +1,5 @@
 /**
- * How many slots of each endpoint this instance may fill.
+ * How many slots of each endpoint this instance may use.
  *
  * @module
  */
@@ -8,16 +8,16 @@
 import type { SeatDirectory } from "../../membership/mod.ts";
 import { evenUnits, type SlotBudgets } from "../budgets/mod.ts";
 
-/** Parts of endpoints' slots; all instances' limits never add up to more. */
+/** Shares of endpoints' slots; all instances' shares never exceed the total. */
 export interface SlotLimits {
   adopt(document: SteeringDocument, now: number): void;
   /** Requests this instance may have in flight at the endpoint. */
   limit(endpoint: EndpointId, now: number): number;
-  /** Tells how many slots are in use and how many more are wanted. */
+  /** Reports how many slots are in use and how many more are wanted. */
   report(endpoint: EndpointId, use: { inFlight: number; wanted: number }): void;
 }
 
-/** Slots split evenly over the zone's seats; nothing moves. */
+/** Slots split evenly over the zone's seats, independent of demand. */
 export class EvenSlotLimits implements SlotLimits {
   readonly #seats: SeatDirectory;
   readonly #entries = new Map<EndpointId, EndpointEntry>();
@@ -43,11 +43,12 @@
   limit(endpoint: EndpointId, now: number): number {
     const entry = this.#entries.get(endpoint);
     if (entry === undefined) return 0;
-    const of = this.#seatsByZone.get(entry.zone) ?? 0;
+    const seatCount = this.#seatsByZone.get(entry.zone) ?? 0;
     return this.#seats.held(now)
       .filter((s) => s.zone === entry.zone)
       .reduce(
-        (n, s) => n + Math.floor(evenUnits(entry.slots, s.index, of) * s.part),
+        (n, s) =>
+          n + Math.floor(evenUnits(entry.slots, s.index, seatCount) * s.part),
         0,
       );
   }
@@ -55,7 +56,7 @@
   report(): void {}
 }
 
-/** Slots that follow demand inside a zone: unused ones are lent. */
+/** Slots that follow demand within a zone: unused ones are lent. */
 export class LeasedSlotLimits implements SlotLimits {
   readonly #budgets: SlotBudgets;
 
--- a/src/decisions/steering/slot_table.ts
+++ b/src/decisions/steering/slot_table.ts
@@ -1,45 +1,43 @@
 /**
- * Slots in use at the endpoints of one service: hands them out and takes them
- * back.
+ * Reserves and releases slots at the endpoints of one service.
  *
- * Answers abandoned requests. When a caller goes away or a deadline passes,
- * the endpoint may go on for a while; handing its slot out at once would run
- * more requests there than it has slots, which shows as its own count passing
- * its limit. So such a slot stays held until the endpoint has surely stopped.
+ * Handles abandoned requests. After a caller disconnects or a deadline passes,
+ * the endpoint may go on running the request; reusing its slot at once would
+ * run more requests there than it has slots. So such a slot stays reserved
+ * until the endpoint has had time to stop.
  *
  * @module
  */
 import type { Clock, EndpointId, Random } from "../../core/mod.ts";
 import type { Slot, SteeringRequest, WorkResult } from "./dispatcher.ts";
 import { chooseEndpoint } from "./endpoint_choice.ts";
-import { judge } from "./endpoint_health.ts";
+import { recordResult } from "./outlier_detection.ts";
 import {
-  allowance,
+  concurrencyLimit,
   type EndpointRow,
-  learnLatency,
-  room,
+  freeSlots,
+  recordLatencyRatio,
 } from "./endpoint_row.ts";
 import type { SlotLimits } from "./slot_limits.ts";
-import type { WorkTimes } from "./work_times.ts";
+import type { DurationEstimator } from "./duration_estimator.ts";
 
-/** What a slot table needs. */
 export interface SlotTableDeps {
   readonly clock: Clock;
   readonly random: Random;
   readonly limits: SlotLimits;
-  readonly times: WorkTimes;
-  /** Called after slots became free. */
+  readonly durations: DurationEstimator;
+  /** Called after a slot was freed. */
   readonly onFree: (now: number) => void;
-  /** Called when a draining endpoint's last request has ended. */
+  /** Called when the last request at a draining endpoint has ended. */
   readonly onDrained: (endpoint: EndpointId, ms: number) => void;
 }
 
 /**
- * After its connection was closed an endpoint learns of the abandonment
- * within a round trip and stops, but a busy one looks late: one whose event
- * loop lagged by 640 ms ran one request too many with a margin of 250 ms.
+ * An endpoint sees the closed connection within a round trip, but a busy one
+ * reacts late: with an event loop lag of 640 ms and a hold of 250 ms, one
+ * request too many ran.
  */
-export const ABANDON_MARGIN_MS = 1_000;
+export const ABANDONED_SLOT_HOLD_MS = 1_000;
 
 /** Results after which the endpoint may still be running the request. */
 const MAY_STILL_RUN: ReadonlySet<WorkResult> = new Set([
@@ -48,7 +46,7 @@
   "cancelled",
 ]);
 
-/** The endpoints of one service with their slots. */
+/** The slots at the endpoints of one service. */
 export class SlotTable {
   readonly #deps: SlotTableDeps;
   rows: readonly EndpointRow[] = [];
@@ -57,21 +55,21 @@
     this.#deps = deps;
   }
 
-  /** Slots that may be in use at once, by what was last asked of the limits. */
+  /** Slots that may be in use at once, by the limits as last read. */
   capacity(now: number): number {
-    return this.rows.reduce((n, row) => n + allowance(row, now), 0);
+    return this.rows.reduce((n, row) => n + concurrencyLimit(row, now), 0);
   }
 
   /** Slots free now. */
   free(now: number): number {
-    return this.rows.reduce((n, row) => n + room(row, now), 0);
+    return this.rows.reduce((n, row) => n + freeSlots(row, now), 0);
   }
 
   get inFlight(): number {
     return this.rows.reduce((n, row) => n + row.inFlight, 0);
   }
 
-  /** When the first endpoint that backs off takes work again; Infinity if none. */
+  /** When the first blocked endpoint is unblocked; Infinity without one. */
   unblockedAt(now: number): number {
     const blocked = this.rows.filter((r) =>
       r.slotLimit > 0 && r.blockedUntil > now && r.drainingSince === undefined
@@ -79,7 +77,7 @@
     return Math.min(...blocked.map((r) => r.blockedUntil));
   }
 
-  /** Asks the limits again; tells them what is in use and what is wanted. */
+  /** Reads the limits again and reports the slots in use and wanted. */
   refresh(now: number, waiting: number): void {
     const open = this.rows.filter((r) => r.drainingSince === undefined);
     const wanted = Math.ceil(waiting / Math.max(1, open.length));
@@ -93,16 +91,16 @@
     }
   }
 
-  /** Takes a slot at the better of two endpoints; undefined if all are full. */
+  /** Reserves a slot; undefined if all endpoints are full. */
   take(req: SteeringRequest, now: number): Slot | undefined {
-    const question = { exclude: req.exclude, now };
+    const criteria = { exclude: req.exclude, now };
     for (let i = 0; i <= this.rows.length; i++) {
-      const row = chooseEndpoint(this.rows, question, this.#deps.random);
+      const row = chooseEndpoint(this.rows, criteria, this.#deps.random);
       if (row === undefined) return undefined;
-      // A part may have shrunk since the last tick, as after a pause: using the
-      // old figure would overfill the endpoint together with the new holder.
+      // The limit may have fallen since the last tick, as after a pause of the
+      // process; the old one would overload the endpoint with the new holder.
       row.slotLimit = this.#deps.limits.limit(row.id, now);
-      if (room(row, now) > 0) return this.#slot(row, req, now);
+      if (freeSlots(row, now) > 0) return this.#slot(row, req, now);
     }
     return undefined;
   }
@@ -120,31 +118,40 @@
         if (!held) return;
         held = false;
         if (result === "ok") {
-          this.#learn(row, req, { ms: (answeredAt ?? now) - startedAt, now });
+          this.#recordLatency(row, req, {
+            ms: (answeredAt ?? now) - startedAt,
+            now,
+          });
         }
-        this.#end(row, result, now);
+        this.#finish(row, result, now);
       },
     };
   }
 
-  #learn(
+  #recordLatency(
     row: EndpointRow,
     req: SteeringRequest,
     { ms, now }: { ms: number; now: number },
   ): void {
-    const { times } = this.#deps;
-    const stretch = times.learn(req.account, req.work ?? "", { ms, now });
-    if (stretch !== undefined) learnLatency(row, stretch, now);
+    const { durations } = this.#deps;
+    const latencyRatio = durations.record(req.account, req.work ?? "", {
+      ms,
+      now,
+    });
+    if (latencyRatio !== undefined) recordLatencyRatio(row, latencyRatio, now);
   }
 
-  #end(row: EndpointRow, result: WorkResult, now: number): void {
-    judge(this.rows, row, { result, now, random: this.#deps.random });
-    if (!MAY_STILL_RUN.has(result)) return this.#free(row, now);
+  #finish(row: EndpointRow, result: WorkResult, now: number): void {
+    recordResult(this.rows, row, { result, now, random: this.#deps.random });
+    if (!MAY_STILL_RUN.has(result)) return this.#releaseSlot(row, now);
     const { clock } = this.#deps;
-    clock.after(ABANDON_MARGIN_MS, () => this.#free(row, clock.now()));
+    clock.after(
+      ABANDONED_SLOT_HOLD_MS,
+      () => this.#releaseSlot(row, clock.now()),
+    );
   }
 
-  #free(row: EndpointRow, now: number): void {
+  #releaseSlot(row: EndpointRow, now: number): void {
     row.inFlight -= 1;
     if (row.inFlight === 0 && row.drainingSince !== undefined) {
       this.#deps.onDrained(row.id, now - row.drainingSince);
