--- a/src/decisions/regions/headroom_grants.ts
+++ b/src/decisions/regions/headroom_grants.ts
@@ -47,24 +47,24 @@
     }
   }
 
-  /** Grants a share of `shareable`; the sum of grants never exceeds it. */
+  /** Grants a share of `capacity`; the sum of grants never exceeds it. */
   grant(
     to: { instance: InstanceId; service: ServiceId },
-    shareable: number,
+    capacity: number,
     now: number,
   ): number {
     const requesters = this.#requesters.get(to.service);
     const requester = requesters?.get(to.instance);
     if (requesters === undefined || requester === undefined) return 0;
-    const share = fairShare(currentDemands(requesters, now), shareable);
+    const share = fairShare(currentDemands(requesters, now), capacity);
     const others = totalGranted(requesters, now) -
       liveGrant(requester, now);
     const granted = Math.max(
       0,
       Math.min(
         now - requester.requestedAt <= REQUEST_TTL_MS ? requester.wanted : 0,
-        Math.max(share, minimumByRank(requesters, to.instance, shareable, now)),
-        Math.floor(shareable) - others,
+        Math.max(share, minimumByRank(requesters, to.instance, capacity, now)),
+        Math.floor(capacity) - others,
       ),
     );
     requester.granted = granted;
@@ -143,12 +143,12 @@
 function minimumByRank(
   requesters: ReadonlyMap<InstanceId, Requester>,
   instance: InstanceId,
-  shareable: number,
+  capacity: number,
   now: number,
 ): number {
   const active = [...requesters].filter(([, a]) =>
     now - a.requestedAt <= REQUEST_TTL_MS && a.wanted > 0
   ).map(([id]) => id).sort();
-  if (active.length <= shareable) return 0;
-  return active.indexOf(instance) < Math.floor(shareable) ? 1 : 0;
+  if (active.length <= capacity) return 0;
+  return active.indexOf(instance) < Math.floor(capacity) ? 1 : 0;
 }
