--- a/src/decisions/budgets/ask_plan.ts
+++ b/src/decisions/budgets/ask_plan.ts
@@ -1,19 +1,20 @@
 /**
- * Whom to ask for a missing part.
+ * Selects the peers to borrow from, and how much to ask of each.
  *
- * Zone-mates are asked first: they answer soonest and stay within reach in a
- * cut. Asking everybody for everything would bring many times what is needed,
- * and other instances would be short of it until it went back.
+ * Peers in the same zone are asked first: they answer soonest and stay
+ * reachable in a network partition between zones. Asking every peer for the
+ * whole amount would borrow many times what is needed, and the lenders would
+ * lack it until it is returned.
  *
  * @module
  */
 import type { BudgetPeer } from "./budget_table.ts";
 
-/** Asked for over what is missing, since some peers have nothing to spare. */
-const ASK_FACTOR = 1.5;
+/** Amount asked for per amount missing, since some peers have none to spare. */
+const OVERASK_FACTOR = 1.5;
 
-/** Peers by nearness: the own zone, then everybody else; empty groups fall out. */
-export function byNearness(
+/** Groups peers into this zone's and all others; empty groups are omitted. */
+export function groupByProximity(
   self: BudgetPeer,
   peers: readonly BudgetPeer[],
 ): BudgetPeer[][] {
@@ -22,8 +23,8 @@
   return [near, far].filter((group) => group.length > 0);
 }
 
-/** The same groups with one peer before all others. */
-export function startingWith(
+/** The same groups, with one peer moved to a group of its own at the front. */
+export function withPeerFirst(
   first: string | undefined,
   groups: readonly BudgetPeer[][],
 ): BudgetPeer[][] {
@@ -32,28 +33,27 @@
   return [head, ...rest].filter((group) => group.length > 0);
 }
 
-/** What each of `count` peers is asked for so that `want` comes together. */
+/** The amount to ask of each of `count` peers to obtain `want` in total. */
 export function askEach(want: number, count: number): number {
-  return count <= 1 ? want : Math.min(want, want * ASK_FACTOR / count);
+  return count <= 1 ? want : Math.min(want, want * OVERASK_FACTOR / count);
 }
 
 /**
- * What each of `count` peers is asked for so that `tokens` come together:
- * whole ones, of no more peers than it takes twice over. `turn` spreads the
- * questions of one asker over the peers.
+ * The whole tokens to ask of each peer to obtain `tokens` in total, from at
+ * most twice as many peers as tokens. `turn` rotates the peers between rounds.
  */
 export function askTokens(
   tokens: number,
   peers: readonly BudgetPeer[],
   turn: number,
 ): { readonly peer: BudgetPeer; readonly tokens: number }[] {
-  const count = Math.min(peers.length, Math.ceil(tokens) * SPREAD_TOKENS);
-  const each = Math.ceil(tokens * ASK_FACTOR / count);
+  const count = Math.min(peers.length, Math.ceil(tokens) * PEERS_PER_TOKEN);
+  const each = Math.ceil(tokens * OVERASK_FACTOR / count);
   return Array.from({ length: count }, (_, i) => {
     const peer = peers[(turn + i) % peers.length]!;
     return { peer, tokens: each };
   });
 }
 
-/** Peers asked for each missing token. */
-const SPREAD_TOKENS = 2;
+/** Peers asked per missing token. */
+const PEERS_PER_TOKEN = 2;
--- a/src/decisions/budgets/budget_table.ts
+++ b/src/decisions/budgets/budget_table.ts
@@ -1,5 +1,5 @@
 /**
- * What one kind of budget offers to the exchange with other instances.
+ * The interface between one kind of budget and the exchange with peers.
  *
  * @module
  */
@@ -10,20 +10,20 @@
   BudgetKind,
 } from "../../gen/budget_pb.ts";
 
-/** Another instance, and where it stands. */
+/** An instance and its location. */
 export interface BudgetPeer {
   readonly instance: string;
   readonly zone: string;
   readonly region: string;
 }
 
-/** The one who speaks in a message: an instance and the life of it. */
+/** An instance and its incarnation, as the sender of a message. */
 export interface Party {
   readonly instance: string;
   readonly incarnation: string;
 }
 
-/** What a lender answers to one question. */
+/** A lender's answer to one borrow request. */
 export interface LenderAnswer {
   readonly grants: BudgetGrant[];
   readonly demand?: BudgetDemand;
@@ -32,16 +32,16 @@
 /** Budgets of one kind, by key. */
 export interface BudgetTable {
   readonly kind: BudgetKind;
-  /** Questions and reports due for one lender; each planned one goes once. */
-  asksTo(lender: string, now: number): BudgetAsk[];
-  /** Lends, prolongs and takes back as one borrower's question says. */
+  /** Requests and loan reports due for a lender; planned ones appear once. */
+  dueAsks(lender: string, now: number): BudgetAsk[];
+  /** Lends, renews and takes back loans as a borrower's request says. */
   answer(ask: BudgetAsk, from: Party, now: number): LenderAnswer;
-  /** Takes in a grant that ends at `end` on this instance's clock. */
+  /** Records a grant that expires at `end` on this instance's clock. */
   accept(grant: BudgetGrant, from: Party, end: number, now: number): void;
-  /** Lends and prolongs nothing from now on. */
+  /** Makes no new loans and renews none from now on. */
   stopLending(): void;
-  /** Whether another instance may be using what was lent from here. */
+  /** Whether another instance may still be using a loan from this one. */
   lends(now: number): boolean;
-  /** Takes in what another instance's callers ask for. */
-  learn(demand: BudgetDemand, from: Party, now: number): void;
+  /** Records another instance's demand. */
+  recordDemand(demand: BudgetDemand, from: Party, now: number): void;
 }
--- a/src/decisions/budgets/demand_meter.ts
+++ b/src/decisions/budgets/demand_meter.ts
@@ -1,5 +1,5 @@
 /**
- * How much the callers of this instance ask for, as a moving average.
+ * The demand of this instance's callers, as an exponential moving average.
  *
  * @module
  */
@@ -7,46 +7,46 @@
 const MS_PER_S = 1_000;
 
 /**
- * Time constant, in milliseconds. Shorter takes chance for demand, and parts
- * that move for nothing are of use to nobody on the way; longer follows callers
- * late, while their requests live on single tokens from elsewhere.
+ * Time constant, in milliseconds. A shorter one takes noise for demand and
+ * moves shares needlessly, which are unusable in transit; a longer one lags
+ * behind moved callers, whose requests then need single borrowed tokens.
  */
-export const DEMAND_WINDOW_MS = 700;
+export const DEMAND_TIME_CONSTANT_MS = 700;
 
 /** Counts attempts and averages them over time. */
 export class DemandMeter {
   #perS = 0;
   #count = 0;
-  #rolledAt: number;
-  #lastAt = -Infinity;
+  #updatedAt: number;
+  #lastAttemptAt = -Infinity;
 
   constructor(now: number) {
-    this.#rolledAt = now;
+    this.#updatedAt = now;
   }
 
-  /** When the last attempt was. */
-  get lastAt(): number {
-    return this.#lastAt;
+  /** Time of the last attempt. */
+  get lastAttemptAt(): number {
+    return this.#lastAttemptAt;
   }
 
   /** Counts one attempt. */
   hit(now: number): void {
     this.#count += 1;
-    this.#lastAt = now;
+    this.#lastAttemptAt = now;
   }
 
-  /** Takes what was counted since the last roll into the average. */
-  roll(now: number): void {
-    const elapsed = now - this.#rolledAt;
+  /** Folds the attempts since the last update into the average. */
+  update(now: number): void {
+    const elapsed = now - this.#updatedAt;
     if (elapsed <= 0) return;
-    const weight = Math.exp(-elapsed / DEMAND_WINDOW_MS);
+    const weight = Math.exp(-elapsed / DEMAND_TIME_CONSTANT_MS);
     const recent = this.#count * MS_PER_S / elapsed;
     this.#perS = this.#perS * weight + recent * (1 - weight);
     this.#count = 0;
-    this.#rolledAt = now;
+    this.#updatedAt = now;
   }
 
-  /** Attempts a second, as of the last roll. */
+  /** Attempts per second, as of the last update. */
   get perS(): number {
     return this.#perS;
   }
--- a/src/decisions/budgets/invariant.ts
+++ b/src/decisions/budgets/invariant.ts
@@ -1,13 +1,13 @@
 /**
- * Invariants of budgets, asserted where amounts change.
+ * Budget invariants, asserted where amounts change.
  *
  * @module
  */
 
-/** Differences below this are rounding of floating-point sums. */
+/** Tolerance for rounding in floating-point sums. */
 export const ROUNDING = 1e-9;
 
-/** A sum of parts that would pass its total: a fault of the program. */
+/** A violated invariant, such as shares above their total: a program fault. */
 export class InvariantError extends Error {
   override readonly name = "InvariantError";
 }
@@ -17,10 +17,10 @@
   if (!holds) throw new InvariantError(what);
 }
 
-/** Told that what a part was given cannot be accounted for. */
-export type OnUnaccounted = (what: string) => void;
+/** Called when the amounts held exceed the total. */
+export type OnOverallocated = (what: string) => void;
 
-/** For models and tests: a fault of the program is an error at once. */
-export function failUnaccounted(what: string): never {
+/** For models and tests: throws at once. */
+export function throwOnOverallocation(what: string): never {
   throw new InvariantError(what);
 }
--- a/src/decisions/budgets/loan_book.ts
+++ b/src/decisions/budgets/loan_book.ts
@@ -1,54 +1,54 @@
 /**
- * Loans of one budget at one holder: what it lent and what it borrowed.
+ * Loans of one budget at one instance, lent and borrowed.
  *
- * A loan's amount only falls and its end only rises, on either side, so that
- * messages may be lost, repeated, reordered or late: a lender counts a part
- * as lent until it hears that it was given back or its own clock says that the
- * borrower's lease has ended. Were a returned loan forgotten at once, a late
- * grant would bring it back and two holders would spend the same part; so its
- * record stays until every such message has run out.
+ * On either side a loan's amount only falls and its end only rises, so that
+ * messages may be lost, repeated, reordered or late: a lender counts a share as
+ * lent until it is reported returned or the borrower's lease has expired by the
+ * lender's clock. If a returned loan were dropped at once, a late grant would
+ * restore it and two instances would spend the same share; so its record stays
+ * until every such message has expired.
  *
  * @module
  */
 import { invariant } from "./invariant.ts";
 import { LEASE_MS } from "./lease.ts";
 
-/** A part lent to another holder. */
+/** An amount lent to another instance. */
 export interface LentLoan {
   readonly id: number;
   readonly borrower: string;
-  /** Lends room for tokens and no rate. */
+  /** Lends burst capacity with its tokens, but no rate. */
   readonly tokensOnly: boolean;
   amount: number;
-  /** When it comes back by itself, on the lender's clock. */
+  /** When the loan expires, on the lender's clock. */
   end: number;
-  /** Tokens that the borrower has given back so far. */
+  /** Tokens returned by the borrower so far. */
   tokensBack: number;
-  /** No longer prolonged, because the lender needs it itself. */
+  /** No longer renewed, because the lender needs the amount itself. */
   reclaimed: boolean;
 }
 
-/** A loan to be written down. */
+/** A loan to be recorded by the lender. */
 export type NewLoan = Pick<
   LentLoan,
   "id" | "borrower" | "tokensOnly" | "amount" | "end"
 >;
 
-/** A part borrowed from another holder. */
+/** An amount borrowed from another instance. */
 export interface BorrowedLoan {
   readonly id: number;
   readonly lender: string;
   readonly incarnation: string;
   readonly tokensOnly: boolean;
   amount: number;
-  /** When it may no longer be spent, on the borrower's clock. */
+  /** When the lease expires, on the borrower's clock. */
   end: number;
   tokensBack: number;
-  /** When the amount last fell; the lender is told for a while. */
-  loweredAt: number;
+  /** When the amount was last reduced; reported for a while after that. */
+  reducedAt: number;
 }
 
-/** A grant as the borrower reads it. */
+/** A grant as received by the borrower. */
 export interface AcceptedGrant {
   readonly id: number;
   readonly lender: string;
@@ -62,7 +62,7 @@
 export class LoanBook {
   readonly #lent = new Map<number, LentLoan>();
   readonly #borrowed = new Map<string, BorrowedLoan>();
-  readonly #rememberMs: number;
+  readonly #retentionMs: number;
   #lentSum = 0;
   #lentRate = 0;
   #nextLentEnd = Infinity;
@@ -70,46 +70,46 @@
   #borrowedRate = 0;
   #nextBorrowedEnd = Infinity;
 
-  /** `rememberMs`: how long a borrowed part that ended may be in use or told. */
-  constructor(rememberMs: number = LEASE_MS) {
-    this.#rememberMs = rememberMs;
+  /** `retentionMs`: how long an expired loan may still be in use or reported. */
+  constructor(retentionMs: number = LEASE_MS) {
+    this.#retentionMs = retentionMs;
   }
 
-  /** Whether nothing is lent, borrowed or still to be remembered. */
+  /** Whether there are no loans and no records of former ones. */
   get empty(): boolean {
     return this.#lent.size === 0 && this.#borrowed.size === 0;
   }
 
-  /** When the next borrowed part ends; infinite without any. */
+  /** When the next borrowed loan expires; infinite without any. */
   get nextBorrowedEnd(): number {
     return this.#nextBorrowedEnd;
   }
 
-  /** What is lent at `now`. */
+  /** The total lent at `now`. */
   lentTotal(now: number): number {
     if (now >= this.#nextLentEnd) this.#sumLent(now);
     return this.#lentSum;
   }
 
-  /** What of it takes rate along. */
+  /** The total lent with rate, without loans of tokens only. */
   lentRate(now: number): number {
     this.lentTotal(now);
     return this.#lentRate;
   }
 
-  /** What is borrowed and may be spent at `now`. */
+  /** The total borrowed that may be spent at `now`. */
   borrowedTotal(now: number): number {
     if (now >= this.#nextBorrowedEnd) this.#sumBorrowed(now);
     return this.#borrowedSum;
   }
 
-  /** What of it brings rate along. */
+  /** The total borrowed with rate, without loans of tokens only. */
   borrowedRate(now: number): number {
     this.borrowedTotal(now);
     return this.#borrowedRate;
   }
 
-  /** Writes a loan down; the lender does so before it tells the borrower. */
+  /** Records a loan; the lender does so before it sends the grant. */
   lend(
     loan: NewLoan,
     now: number,
@@ -122,31 +122,31 @@
     return row;
   }
 
-  /** A loan that is out at `now`. */
-  lent(id: number, now: number): LentLoan | undefined {
+  /** A loan that is lent at `now`. */
+  lentLoan(id: number, now: number): LentLoan | undefined {
     this.lentTotal(now);
     return this.#lent.get(id);
   }
 
-  /** Every loan that is out at `now`. */
+  /** Every loan that is lent at `now`. */
   lentLoans(now: number): LentLoan[] {
     this.lentTotal(now);
     return [...this.#lent.values()];
   }
 
-  /** Moves a loan's end on; it never moves back. */
-  prolong(loan: LentLoan, end: number): void {
+  /** Extends a loan's lease; its end never moves back. */
+  extend(loan: LentLoan, end: number): void {
     loan.end = Math.max(loan.end, end);
   }
 
-  /** Takes in that the borrower holds no more than `amount`; it never rises. */
-  returned(loan: LentLoan, amount: number, now: number): void {
+  /** Reduces a lent loan to the amount its borrower reports; it never rises. */
+  reduceLent(loan: LentLoan, amount: number, now: number): void {
     loan.amount = Math.min(loan.amount, Math.max(0, amount));
     if (loan.amount === 0) this.#lent.delete(loan.id);
     this.#sumLent(now);
   }
 
-  /** Takes in a grant, once or again; true where the loan is a new one. */
+  /** Records a grant, which may be a repeated one; true if the loan is new. */
   accept(grant: AcceptedGrant, now: number): boolean {
     if (grant.end <= now || grant.amount <= 0) return false;
     const key = `${grant.lender} ${grant.incarnation} ${grant.id}`;
@@ -158,42 +158,42 @@
       this.#borrowed.set(key, {
         ...grant,
         tokensBack: 0,
-        loweredAt: -Infinity,
+        reducedAt: -Infinity,
       });
     }
     this.#sumBorrowed(now);
     return known === undefined;
   }
 
-  /** Lowers a borrowed part, before its lender is told. */
-  lower(loan: BorrowedLoan, { by, tokens, now }: {
+  /** Reduces a borrowed loan, before that is reported to the lender. */
+  reduceBorrowed(loan: BorrowedLoan, { by, tokens, now }: {
     by: number;
     tokens: number;
     now: number;
   }): void {
-    invariant(by > 0 && tokens >= 0, `loan ${loan.id} must not rise`);
+    invariant(by > 0 && tokens >= 0, `loan ${loan.id} must not increase`);
     loan.amount = by >= loan.amount ? 0 : loan.amount - by;
     loan.tokensBack += tokens;
-    loan.loweredAt = now;
+    loan.reducedAt = now;
     this.#sumBorrowed(now);
   }
 
-  /** Borrowed parts that may be spent at `now`. */
+  /** Borrowed loans that may be spent at `now`. */
   borrowedLoans(now: number): BorrowedLoan[] {
     return [...this.#borrowed.values()]
       .filter((l) => l.amount > 0 && now < l.end);
   }
 
-  /** Borrowed parts that ended and were not given back yet. */
-  endedLoans(now: number): BorrowedLoan[] {
+  /** Expired borrowed loans that have not been returned. */
+  expiredLoans(now: number): BorrowedLoan[] {
     return [...this.#borrowed.values()]
       .filter((l) => l.amount > 0 && now >= l.end);
   }
 
-  /** What the lender named has to hear: live parts, and those just lowered. */
-  toldTo(lender: string, now: number): BorrowedLoan[] {
+  /** Loans to report to a lender: the live ones, and those reduced of late. */
+  loansToReport(lender: string, now: number): BorrowedLoan[] {
     return [...this.#borrowed.values()].filter((l) =>
-      l.lender === lender && (now < l.end || now < l.loweredAt + LEASE_MS)
+      l.lender === lender && (now < l.end || now < l.reducedAt + LEASE_MS)
     );
   }
 
@@ -220,7 +220,7 @@
     let rate = 0;
     let next = Infinity;
     for (const [key, loan] of this.#borrowed) {
-      if (Math.max(loan.end, loan.loweredAt) + this.#rememberMs <= now) {
+      if (Math.max(loan.end, loan.reducedAt) + this.#retentionMs <= now) {
         this.#borrowed.delete(key);
       }
       if (loan.end <= now || loan.amount === 0) continue;
--- a/src/decisions/budgets/mod.ts
+++ b/src/decisions/budgets/mod.ts
@@ -1,7 +1,7 @@
 /**
- * Budgets of the whole fleet: parts that each instance spends without asking,
- * and loans by which parts follow demand. The sum of all parts never passes
- * the total.
+ * Fleet-wide budgets: shares that each instance spends without coordination,
+ * and loans that move shares to where the demand is. The shares of all
+ * instances never add up to more than the total.
  *
  * @module
  */
--- a/src/decisions/budgets/patience.ts
+++ b/src/decisions/budgets/patience.ts
@@ -1,54 +1,54 @@
 /**
- * Whether a request that finds no token waits, or is refused at once.
+ * Decides whether a request without a token waits or is refused at once.
  *
- * Answers two loads that look alike for a moment: callers that have moved, so
- * that the account's parts are still on their way, and an account that sends
- * several times its rate. Refusing the first at once shows as wrongful
- * refusals after every move; letting the second wait holds requests until
- * their deadline that never had a chance. What tells them apart is the demand
- * that other instances report, and how long the shortage has lasted.
+ * Answers two loads that look alike at first: callers that have moved, so that
+ * the account's shares have yet to follow, and an account that sends several
+ * times its rate. Refusing the first at once shows as wrongful refusals after
+ * every move; letting the second wait holds requests until their deadline that
+ * could never be admitted. The demand that other instances report and the age
+ * of the shortage distinguish the two.
  *
  * @module
  */
 
-import { DEMAND_WINDOW_MS } from "./demand_meter.ts";
+import { DEMAND_TIME_CONSTANT_MS } from "./demand_meter.ts";
 
-/** Part of the time to the deadline that may go by waiting; the rest is work. */
-const WAIT_PART = 0.8;
+/** Fraction of the remaining deadline available for waiting, not execution. */
+const MAX_WAIT_FRACTION = 0.8;
 
-/** A wait of this many milliseconds is let pass whatever else is known. */
+/** A wait up to this, in milliseconds, is allowed whatever the demand. */
 const SHORT_WAIT_MS = 50;
 
-/** Time that parts need to follow callers that moved: decay, two ticks. */
-const MOVE_MS = 500;
+/** Time for shares to follow moved callers: demand decay and two ticks. */
+const SHARE_MOVE_MS = 500;
 
-/** Time after which parts of a dead borrower have come back, in milliseconds. */
+/** Time, in milliseconds, after which a dead borrower's loans have expired. */
 const RECLAIM_MS = 1_500;
 
-/** Demand over this multiple of a large rate is too much, not chance. */
-const OVER_FACTOR = 1.1;
+/** Multiple of a large rate above which demand exceeds it beyond noise. */
+const MAX_DEMAND_FACTOR = 1.1;
 
-/** Deviations of the measured demand that are let pass as chance. */
-const CHANCE = 2;
+/** Standard deviations of the measured demand that count as noise. */
+const NOISE_DEVIATIONS = 2;
 const MS_PER_S = 1_000;
 
-/** What is known when a request finds no token. */
+/** The state in which a request finds no token. */
 export interface Shortage {
-  /** Milliseconds until its token is there at the present part. */
+  /** Milliseconds until its token is available at the present share. */
   readonly waitMs: number;
   /** Milliseconds to its deadline. */
   readonly leftMs: number;
-  /** Milliseconds since others first had nothing to lend. */
+  /** Milliseconds since the other instances first had nothing to lend. */
   readonly scarceForMs: number;
-  /** Demand of all instances as far as known; 1 is the account's rate. */
+  /** Known demand of all instances; 1 is the account's rate. */
   readonly fleetDemand: number;
   readonly ratePerS: number;
-  /** Milliseconds until its token is there if all parts came here. */
+  /** Milliseconds until its token is available with all shares here. */
   readonly bestMs: number;
 }
 
 /**
- * True where waiting makes sense.
+ * Whether the request may wait for a token.
  *
  * @example
  * ```ts
@@ -56,26 +56,27 @@
  * ```
  */
 export function mayWait(at: Shortage): boolean {
-  const patience = at.leftMs * WAIT_PART;
-  if (at.bestMs > patience) return false;
-  if (at.waitMs <= Math.min(SHORT_WAIT_MS, patience)) return true;
-  if (at.scarceForMs > MOVE_MS && isOver(at)) return false;
-  if (at.scarceForMs > RECLAIM_MS && at.waitMs > patience) return false;
+  const limitMs = at.leftMs * MAX_WAIT_FRACTION;
+  if (at.bestMs > limitMs) return false;
+  if (at.waitMs <= Math.min(SHORT_WAIT_MS, limitMs)) return true;
+  if (at.scarceForMs > SHARE_MOVE_MS && isOver(at)) return false;
+  if (at.scarceForMs > RECLAIM_MS && at.waitMs > limitMs) return false;
   return true;
 }
 
 /**
- * Whether an account's demand is over its rate beyond chance. A moving average
- * over a window of so many milliseconds varies as a count over twice of it.
+ * Whether an account's demand exceeds its rate beyond noise. An exponential
+ * average varies as a count over twice its time constant.
  */
 export function isOver(
   { fleetDemand, ratePerS }: Pick<Shortage, "fleetDemand" | "ratePerS">,
 ): boolean {
-  const counted = ratePerS * 2 * DEMAND_WINDOW_MS / MS_PER_S;
-  return fleetDemand > OVER_FACTOR + CHANCE / Math.sqrt(counted);
+  const expectedCount = ratePerS * 2 * DEMAND_TIME_CONSTANT_MS / MS_PER_S;
+  return fleetDemand >
+    MAX_DEMAND_FACTOR + NOISE_DEVIATIONS / Math.sqrt(expectedCount);
 }
 
-/** When a waiting request gives up, in milliseconds from now. */
+/** The longest that a request may wait for a token, in milliseconds. */
 export function patienceMs(leftMs: number): number {
-  return leftMs * WAIT_PART;
+  return leftMs * MAX_WAIT_FRACTION;
 }
--- a/src/decisions/budgets/keeper.ts
+++ b/src/decisions/budgets/pool_owner.ts
@@ -1,21 +1,21 @@
 /**
- * Which instance keeps the parts of an account with a small burst together.
+ * Chooses the instance that pools the shares of an account with a small burst.
  *
- * Every member works it out from the members alone. Two that see different
- * members may take two keepers for a while; then tokens lie in two places and
- * some requests ask once more, but no part is anybody's twice.
+ * Each instance computes it from its view of the membership. While views differ
+ * there may be two pool owners; some requests then take a second round of
+ * asking, but no share is counted twice.
  *
  * @module
  */
 import { ownerOf } from "../steering/rendezvous.ts";
-import { byNearness, startingWith } from "./ask_plan.ts";
+import { groupByProximity, withPeerFirst } from "./ask_plan.ts";
 import type { BudgetPeer } from "./budget_table.ts";
 import type { RateRow } from "./rate_row.ts";
 
-type Pooled = Pick<RateRow, "account" | "pool" | "keeper">;
+type Pooled = Pick<RateRow, "account" | "pool" | "poolOwner">;
 
-/** The keeper as this instance sees it; undefined where nothing is pooled. */
-export function keeperOf(
+/** The pool owner by this instance's view; undefined if not pooled. */
+export function poolOwnerOf(
   { account, pool }: Pooled,
   self: BudgetPeer,
   peers: readonly BudgetPeer[],
@@ -26,19 +26,19 @@
   return ownerOf(account, members.map((p) => p.instance));
 }
 
-/** Whom to ask for tokens, nearest first, where tokens may be. */
+/** Peers that may have tokens to lend, in groups, nearest first. */
 export function tokenLenders(
   row: Pooled,
   self: BudgetPeer,
   peers: readonly BudgetPeer[],
 ): BudgetPeer[][] {
-  const groups = startingWith(row.keeper, byNearness(self, peers));
+  const groups = withPeerFirst(row.poolOwner, groupByProximity(self, peers));
   if (row.pool !== "zone") return groups;
   const zones = new Set(peers.map((p) => p.zone));
-  const keepers = new Set([...zones].map((zone) => {
+  const owners = new Set([...zones].map((zone) => {
     const members = [...peers, self].filter((p) => p.zone === zone);
     return ownerOf(row.account, members.map((p) => p.instance));
   }));
-  return groups.map((group) => group.filter((p) => keepers.has(p.instance)))
+  return groups.map((group) => group.filter((p) => owners.has(p.instance)))
     .filter((group) => group.length > 0);
 }
--- a/src/decisions/budgets/rate_budgets.ts
+++ b/src/decisions/budgets/rate_budgets.ts
@@ -1,5 +1,5 @@
 /**
- * The table of accounts' rates at one instance, and its side of lending.
+ * Account rates at one instance, as a lender and as a borrower.
  *
  * @module
  */
@@ -15,48 +15,53 @@
   BudgetKind,
 } from "../../gen/budget_pb.ts";
 import type { BucketSize } from "../limits/token_bucket.ts";
-import { askEach, byNearness, startingWith } from "./ask_plan.ts";
+import { askEach, groupByProximity, withPeerFirst } from "./ask_plan.ts";
 import type {
   BudgetPeer,
   BudgetTable,
   LenderAnswer,
   Party,
 } from "./budget_table.ts";
-import { isDue, toHeld } from "./held_loan.ts";
-import { LEASE_MS, lenderSpan } from "./lease.ts";
+import { needsReport, toHeldLoan } from "./held_loan.ts";
+import { LEASE_MS, lenderLeaseMs } from "./lease.ts";
 import {
   IDLE_AFTER_MS,
-  poolFor,
+  missingFraction,
+  missingTokens,
+  poolScopeFor,
   type RateState,
-  tokensWanted,
-  wantOf,
 } from "./rate_policy.ts";
-import { giveBackSurplus } from "./give_back.ts";
-import { keeperOf, tokenLenders } from "./keeper.ts";
+import { returnSurplus } from "./return_surplus.ts";
+import { poolOwnerOf, tokenLenders } from "./pool_owner.ts";
 import { RateLender } from "./rate_lender.ts";
-import { demandOf, newRow, peerDemands, type RateRow } from "./rate_row.ts";
+import {
+  demandFraction,
+  newRateRow,
+  peerDemands,
+  type RateRow,
+} from "./rate_row.ts";
 import type { Entitlement, SeatShares } from "./seat_shares.ts";
 
-/** An instance's part of an account's rate. */
+/** An instance's share of an account's rate. */
 export interface Spendable {
-  /** Of the rate. */
+  /** Fraction of the rate. */
   readonly fraction: number;
-  /** Of the burst. */
+  /** Fraction of the burst. */
   readonly room: number;
   readonly tokens: number;
 }
 
-/** What a table of rates needs. */
+/** Dependencies of the rate budgets. */
 export interface RateBudgetsDeps {
   readonly self: BudgetPeer & Party;
   readonly shares: SeatShares;
-  /** Instances that can be asked at present. */
+  /** Peers that are reachable at present. */
   readonly peers: () => readonly BudgetPeer[];
-  /** How long a seat has surely not been used when it changes hands. */
+  /** Minimum time, in milliseconds, that a seat is unused between holders. */
   readonly restMs: () => number;
-  /** Told when an account's part has grown. */
+  /** Called when an account's share has grown. */
   readonly onGrown?: (account: AccountId, now: number) => void;
-  /** Told when an account's parts pass the whole; else it is an error. */
+  /** Called when a share exceeds the account's total; by default that throws. */
   readonly onUnaccounted?: (account: AccountId, what: string) => void;
 }
 
@@ -65,7 +70,7 @@
   readonly tokens: number;
 }
 
-/** Accounts' rates, as a table that systems run over each tick. */
+/** Account rates, updated once per tick. */
 export class RateBudgets implements BudgetTable {
   readonly kind = BudgetKind.RATE;
   readonly #deps: RateBudgetsDeps;
@@ -74,10 +79,10 @@
   readonly #lender: RateLender;
   readonly #plan = new Map<string, Map<RateRow, PlannedAsk>>();
   #own: Entitlement = { amount: 0, until: 0 };
-  /** How often the own part ended before it was renewed. */
+  /** How often the own share expired before it was renewed. */
   #lapses = 0;
-  /** The own part that rows out of use may still count with. */
-  #everywhere = Infinity;
+  /** The own share at the last refresh of all rows; inactive rows use it. */
+  #idleAmount = Infinity;
 
   constructor(deps: RateBudgetsDeps) {
     this.#deps = deps;
@@ -87,12 +92,12 @@
     });
   }
 
-  /** Rows in use: with demand, with loans, or with requests waiting. */
+  /** Rows with recent demand, with loans, or with waiting requests. */
   get active(): ReadonlySet<RateRow> {
     return this.#active;
   }
 
-  /** Takes over rates and bursts of a newly accepted document. */
+  /** Applies the rates and bursts of a newly accepted document. */
   adopt(document: SteeringDocument, now: number): void {
     for (const [id, row] of this.#rows) {
       if (Object.hasOwn(document.rates, id)) continue;
@@ -104,18 +109,23 @@
       const total = { ratePerS: rate.rate_per_s, burst: rate.burst };
       const known = this.#rows.get(account);
       if (known !== undefined) known.share.setTotal(total, now);
-      else this.#rows.set(account, this.#newRow(account, total, now));
+      else this.#rows.set(account, this.#newRateRow(account, total, now));
     }
     this.#refreshAll(now);
   }
 
-  #newRow(account: AccountId, total: BucketSize, now: number): RateRow {
-    const { onUnaccounted } = this.#deps;
-    if (onUnaccounted === undefined) return newRow(account, total, now);
-    return newRow(account, total, now, (what) => onUnaccounted(account, what));
+  #newRateRow(account: AccountId, total: BucketSize, now: number): RateRow {
+    const { onUnaccounted: notify } = this.#deps;
+    if (notify === undefined) return newRateRow(account, total, now);
+    return newRateRow(
+      account,
+      total,
+      now,
+      (what) => notify(account, what),
+    );
   }
 
-  /** The account's row, brought to `now`; undefined without a rate. */
+  /** Activates and refreshes the account's row; undefined without a rate. */
   open(account: AccountId, now: number): RateRow | undefined {
     const row = this.#rows.get(account);
     if (row === undefined) return undefined;
@@ -134,39 +144,39 @@
     );
   }
 
-  /** Gives back what is not needed and plans what to ask; once a tick. */
+  /** Returns surplus loans and plans borrow requests; called once per tick. */
   run(now: number): void {
-    if (this.#ownAt(now).amount < this.#everywhere) this.#refreshAll(now);
+    if (this.#updateOwn(now).amount < this.#idleAmount) this.#refreshAll(now);
     this.#plan.clear();
     const peers = this.#deps.peers();
     const { self } = this.#deps;
-    const groups = byNearness(self, peers);
-    const mates = new Set(
+    const groups = groupByProximity(self, peers);
+    const zonePeers = new Set(
       peers.filter((p) => p.zone === self.zone).map((p) => p.instance),
     );
     for (const row of this.#active) {
       this.#refresh(row, now);
-      row.share.demand.roll(now);
-      row.pool = poolFor(row.share.total.burst, this.#deps.shares.size);
-      row.keeper = keeperOf(row, this.#deps.self, peers);
-      giveBackSurplus(row, this.state(row, now), mates);
+      row.share.demand.update(now);
+      row.pool = poolScopeFor(row.share.total.burst, this.#deps.shares.size);
+      row.poolOwner = poolOwnerOf(row, this.#deps.self, peers);
+      returnSurplus(row, this.state(row, now), zonePeers);
       this.#planAsks(row, groups, now);
-      if (this.#idle(row, now)) this.#active.delete(row);
+      if (this.#isIdle(row, now)) this.#active.delete(row);
     }
   }
 
-  asksTo(lender: string, now: number): BudgetAsk[] {
+  dueAsks(lender: string, now: number): BudgetAsk[] {
     const planned = this.#plan.get(lender);
     this.#plan.delete(lender);
     const asks: BudgetAsk[] = [];
     for (const row of this.#active) {
-      const ask = this.#askTo(row, lender, planned?.get(row), now);
+      const ask = this.#buildAsk(row, lender, planned?.get(row), now);
       if (ask.wanted > 0 || ask.held.length > 0) asks.push(ask);
     }
     return asks;
   }
 
-  /** A question outside the plan, for requests that wait. */
+  /** Builds a borrow request outside the plan, for waiting requests. */
   askNow(row: RateRow, lender: string, { wanted, tokens, now }: {
     wanted: number;
     tokens: number;
@@ -174,7 +184,7 @@
   }): BudgetAsk {
     this.#refresh(row, now);
     const planned = { wanted, tokens };
-    return this.#askTo(row, lender, planned, now);
+    return this.#buildAsk(row, lender, planned, now);
   }
 
   answer(ask: BudgetAsk, from: Party, now: number): LenderAnswer {
@@ -185,12 +195,12 @@
       this.#lender.report(row, held, from, now)
     );
     if (!(ask.wanted > 0 || ask.tokens > 0)) return { grants };
-    row.askedAt = now;
+    row.lastAskedAt = now;
     grants.push(...this.#lender.lend(row, ask, from, now));
     const demand = create(BudgetDemandSchema, {
       kind: this.kind,
       key: ask.key,
-      demand: demandOf(row),
+      demand: demandFraction(row),
     });
     return { grants, demand };
   }
@@ -198,7 +208,7 @@
   accept(grant: BudgetGrant, from: Party, end: number, now: number): void {
     const row = this.open(grant.key as AccountId, now);
     if (row === undefined) return;
-    if (grant.reclaim) return this.#return(row, grant, from, now);
+    if (grant.reclaim) return this.#returnReclaimed(row, grant, from, now);
     row.share.accept({
       id: grant.id,
       lender: from.instance,
@@ -210,69 +220,86 @@
     this.#deps.onGrown?.(row.account, now);
   }
 
-  /** A loan that ended by itself would take its tokens with it. */
-  #return(row: RateRow, grant: BudgetGrant, from: Party, now: number): void {
+  /** Returns a reclaimed loan, whose tokens would be lost at its expiry. */
+  #returnReclaimed(
+    row: RateRow,
+    grant: BudgetGrant,
+    from: Party,
+    now: number,
+  ): void {
     const loan = row.share.book.borrowedLoans(now).find((l) =>
       l.id === grant.id && l.lender === from.instance &&
       l.incarnation === from.incarnation
     );
     if (loan === undefined) return;
     const by = Math.min(loan.amount, row.share.returnable(now));
-    if (by > 0) row.share.giveBack(loan, by, now);
+    if (by > 0) row.share.returnBorrowed(loan, by, now);
   }
 
-  learn(demand: BudgetDemand, from: Party, now: number): void {
+  recordDemand(demand: BudgetDemand, from: Party, now: number): void {
     const row = this.#rows.get(demand.key as AccountId);
     row?.peerDemand.set(from.instance, { demand: demand.demand, at: now });
   }
 
-  /** The demand of all instances as far as known, as a fraction of the rate. */
+  /** The known demand of all instances, as a fraction of the rate. */
   fleetDemand(row: RateRow, now: number): number {
-    return peerDemands(row, now).reduce((n, d) => n + d, demandOf(row));
+    return peerDemands(row, now).reduce((n, d) => n + d, demandFraction(row));
   }
 
-  /** What may be spent here of an account's rate, and its tokens at hand. */
+  /** This instance's share of an account's rate, and the available tokens. */
   spendable(account: AccountId, now: number): Spendable {
     const row = this.#rows.get(account);
     if (row === undefined) return { fraction: 0, room: 0, tokens: 0 };
     this.#refresh(row, now);
-    const { usable: fraction, room } = row.share;
-    return { fraction, room, tokens: row.share.tokens(now) };
+    const { rateFraction, burstFraction } = row.share;
+    return {
+      fraction: rateFraction,
+      room: burstFraction,
+      tokens: row.share.tokens(now),
+    };
   }
 
-  /** What is known of the account here, as the policy wants it. */
+  /** The account's state at this instance, as input of the policy. */
   state(row: RateRow, now: number): RateState {
-    const { waiting, pool, askedAt } = row;
-    const keeper = pool !== "none" &&
-      row.keeper === this.#deps.self.instance;
+    const { waiting, pool, lastAskedAt } = row;
+    const isPoolOwner = pool !== "none" &&
+      row.poolOwner === this.#deps.self.instance;
     const { seats } = this.#deps.shares.size;
     const others = peerDemands(row, now);
-    return { waiting, now, pool, keeper, askedAt, seats, others };
+    return {
+      waiting,
+      now,
+      pool,
+      isPoolOwner,
+      lastAskedAt,
+      seats,
+      peerDemands: others,
+    };
   }
 
-  /** The fraction that is missing here at present. */
+  /** The fraction of the rate that this instance lacks. */
   want(row: RateRow, now: number): number {
-    return wantOf(row.share, this.state(row, now));
+    return missingFraction(row.share, this.state(row, now));
   }
 
-  /** Whole tokens that are missing here at present. */
+  /** Whole tokens that this instance's waiting requests lack. */
   tokensWanted(row: RateRow, now: number): number {
-    return tokensWanted(row.share, this.state(row, now));
+    return missingTokens(row.share, this.state(row, now));
   }
 
-  /** Whom to ask for tokens, nearest first, where tokens may be. */
+  /** Peers that may have tokens to lend, in groups, nearest first. */
   tokenLenders(row: RateRow): BudgetPeer[][] {
     return tokenLenders(row, this.#deps.self, this.#deps.peers());
   }
 
-  #idle(row: RateRow, now: number): boolean {
-    const usedAt = Math.max(row.share.demand.lastAt, row.askedAt);
+  #isIdle(row: RateRow, now: number): boolean {
+    const usedAt = Math.max(row.share.demand.lastAttemptAt, row.lastAskedAt);
     return row.waiting === 0 && row.share.book.empty &&
       now - usedAt > IDLE_AFTER_MS;
   }
 
-  #ownAt(now: number): Entitlement {
-    const holdMs = Math.max(0, lenderSpan(LEASE_MS) - this.#deps.restMs());
+  #updateOwn(now: number): Entitlement {
+    const holdMs = Math.max(0, lenderLeaseMs(LEASE_MS) - this.#deps.restMs());
     const own = this.#deps.shares.fraction(now, holdMs);
     if (now >= this.#own.until) this.#lapses += 1;
     this.#own = own;
@@ -280,28 +307,28 @@
   }
 
   #refresh(row: RateRow, now: number): void {
-    row.share.refresh(this.#ownAt(now), now, this.#lapses);
+    row.share.refresh(this.#updateOwn(now), now, this.#lapses);
   }
 
   #refreshAll(now: number): void {
-    const own = this.#ownAt(now);
-    this.#everywhere = own.amount;
+    const own = this.#updateOwn(now);
+    this.#idleAmount = own.amount;
     for (const row of this.#rows.values()) {
       row.share.refresh(own, now, this.#lapses);
     }
   }
 
   #planAsks(row: RateRow, groups: BudgetPeer[][], now: number): void {
-    const want = this.want(row, now);
-    row.missedTicks = want > 0 ? row.missedTicks + 1 : 0;
-    if (want === 0) return;
-    const nearest = startingWith(row.keeper, groups);
-    const zoneOnly = row.pool === "zone" && this.state(row, now).keeper &&
+    const missing = this.want(row, now);
+    row.shortTicks = missing > 0 ? row.shortTicks + 1 : 0;
+    if (missing === 0) return;
+    const nearest = withPeerFirst(row.poolOwner, groups);
+    const zoneOnly = row.pool === "zone" && this.state(row, now).isPoolOwner &&
       row.waiting === 0;
-    const peers = row.missedTicks === 1 || zoneOnly
+    const peers = row.shortTicks === 1 || zoneOnly
       ? nearest[0] ?? []
       : groups.flat();
-    const wanted = askEach(want, peers.length);
+    const wanted = askEach(missing, peers.length);
     for (const { instance } of peers) {
       const asks = this.#plan.get(instance) ?? new Map();
       asks.set(row, { wanted, tokens: 0 });
@@ -309,19 +336,19 @@
     }
   }
 
-  #askTo(
+  #buildAsk(
     row: RateRow,
     lender: string,
     planned: PlannedAsk | undefined,
     now: number,
   ): BudgetAsk {
-    const held = row.share.book.toldTo(lender, now)
-      .filter((loan) => isDue(loan, now))
-      .map((loan) => toHeld(loan, now));
+    const held = row.share.book.loansToReport(lender, now)
+      .filter((loan) => needsReport(loan, now))
+      .map((loan) => toHeldLoan(loan, now));
     return create(BudgetAskSchema, {
       kind: this.kind,
       key: row.account,
-      demand: demandOf(row),
+      demand: demandFraction(row),
       wanted: planned?.wanted ?? 0,
       tokens: planned?.tokens ?? 0,
       held,
--- a/src/decisions/budgets/rate_lender.ts
+++ b/src/decisions/budgets/rate_lender.ts
@@ -1,6 +1,5 @@
 /**
- * The lending side of accounts' rates: what goes to a borrower, what is
- * prolonged, and what is asked back.
+ * The lending side of account rates: grants, renewals and reclaims.
  *
  * @module
  */
@@ -14,27 +13,27 @@
 } from "../../gen/budget_pb.ts";
 import type { Party } from "./budget_table.ts";
 import { ROUNDING } from "./invariant.ts";
-import { lenderSpan } from "./lease.ts";
+import { lenderLeaseMs } from "./lease.ts";
 import type { LentLoan } from "./loan_book.ts";
 import {
-  needOf,
+  lendableFraction,
+  lendableTokens,
+  neededFraction,
   type RateState,
-  spareOf,
-  tokensToSpare,
 } from "./rate_policy.ts";
 import type { RateRow } from "./rate_row.ts";
 
-/** What a lender needs. */
+/** Dependencies of a rate lender. */
 export interface RateLenderDeps {
-  /** This life of the instance; loans of an earlier one are not its own. */
+  /** This instance's incarnation; loans of an earlier one are ignored. */
   readonly incarnation: string;
   readonly state: (row: RateRow, now: number) => RateState;
 }
 
-const SHORTEST_LEASE_MS = 100;
-const MOST_LOANS_A_BORROWER = 16;
+const MIN_LEASE_MS = 100;
+const MAX_LOANS_PER_BORROWER = 16;
 
-/** Lends parts of accounts' rates. */
+/** Lends shares of account rates. */
 export class RateLender {
   readonly #deps: RateLenderDeps;
   #loanId = 0;
@@ -44,12 +43,12 @@
     this.#deps = deps;
   }
 
-  /** Lends nothing and prolongs nothing from now on. */
+  /** Makes no new loans and renews none from now on. */
   close(): void {
     this.#closed = true;
   }
 
-  /** Lends what a question asks for, as far as there is any to spare. */
+  /** Lends what a borrower asks for, within what can be spared. */
   lend(
     row: RateRow,
     ask: BudgetAsk,
@@ -64,7 +63,7 @@
     return loans.filter((loan) => loan !== undefined);
   }
 
-  /** What a borrower says of one loan; gives the prolonged lease, if any. */
+  /** Handles a borrower's report of one loan; returns a renewal or reclaim. */
   report(
     row: RateRow,
     held: HeldLoan,
@@ -72,46 +71,47 @@
     now: number,
   ): BudgetGrant[] {
     if (held.lenderIncarnation !== this.#deps.incarnation) return [];
-    const loan = row.share.book.lent(held.id, now);
+    const loan = row.share.book.lentLoan(held.id, now);
     if (loan === undefined || loan.borrower !== from.instance) return [];
     const { amount, tokensBack } = held;
     row.share.takeBack(loan, { amount, tokensBack, now });
     if (loan.amount < amount || loan.amount === 0) return [];
     if (!held.renew || loan.tokensOnly || this.#closed) return [];
-    if (this.#reclaims(row, loan, now)) {
+    if (this.#shouldReclaim(row, loan, now)) {
       const grant = this.#grant(row, loan, { tokens: 0, leaseMs: 0 });
       return [{ ...grant, reclaim: true }];
     }
-    const leaseMs = row.share.rateLease(0, now);
-    if (leaseMs < SHORTEST_LEASE_MS) return [];
-    row.share.book.prolong(loan, now + lenderSpan(leaseMs));
+    const leaseMs = row.share.maxRateLeaseMs(0, now);
+    if (leaseMs < MIN_LEASE_MS) return [];
+    row.share.book.extend(loan, now + lenderLeaseMs(leaseMs));
     return [this.#grant(row, loan, { tokens: 0, leaseMs })];
   }
 
   /**
-   * A lender that is short itself lets loans end, no more than it lacks. One
-   * whose own part has fallen below what it lent lets them all end: prolonged,
-   * they would be spent beside the part of whoever has its seat now.
+   * A lender short of rate reclaims loans, up to what it lacks. One whose own
+   * share has fallen below what it lent reclaims all: renewed loans would be
+   * spent in addition to the share of the seat's next holder.
    */
-  #reclaims(row: RateRow, loan: LentLoan, now: number): boolean {
+  #shouldReclaim(row: RateRow, loan: LentLoan, now: number): boolean {
     const { share } = row;
-    const short = needOf(share, this.#deps.state(row, now)) - share.usable;
-    const coming = share.book.lentLoans(now)
+    const short = neededFraction(share, this.#deps.state(row, now)) -
+      share.rateFraction;
+    const returning = share.book.lentLoans(now)
       .filter((l) => l.reclaimed)
       .reduce((sum, l) => sum + l.amount, 0);
-    const overLent = share.overLent(now);
-    if (overLent || short - coming > ROUNDING) loan.reclaimed = true;
+    const overLent = share.isOverLent(now);
+    if (overLent || short - returning > ROUNDING) loan.reclaimed = true;
     return loan.reclaimed;
   }
 
-  /** Whole tokens for requests that wait; the rate stays where it is. */
+  /** Lends whole tokens for waiting requests, without rate. */
   #lendTokens(
     row: RateRow,
     ask: BudgetAsk,
     from: Party,
     now: number,
   ): BudgetGrant | undefined {
-    const spare = tokensToSpare(row.share, this.#deps.state(row, now));
+    const spare = lendableTokens(row.share, this.#deps.state(row, now));
     const tokens = Math.min(ask.tokens, Math.floor(spare));
     if (!(tokens >= 1)) return undefined;
     const amount = tokens / row.share.total.burst;
@@ -125,10 +125,10 @@
     now: number,
   ): BudgetGrant | undefined {
     const { share } = row;
-    const spare = spareOf(share, this.#deps.state(row, now));
-    const amount = Math.min(ask.wanted, spare, share.room);
+    const spare = lendableFraction(share, this.#deps.state(row, now));
+    const amount = Math.min(ask.wanted, spare, share.burstFraction);
     if (!(amount > ROUNDING)) return undefined;
-    const tokens = share.tokens(now) * amount / share.room;
+    const tokens = share.tokens(now) * amount / share.burstFraction;
     return this.#lend(row, from, { amount, tokens, now, tokensOnly: false });
   }
 
@@ -144,14 +144,14 @@
   ): BudgetGrant | undefined {
     const { share } = row;
     const leaseMs = tokensOnly
-      ? share.tokenLease(amount, now)
-      : share.rateLease(amount, now);
+      ? share.maxTokenLeaseMs(amount, now)
+      : share.maxRateLeaseMs(amount, now);
     const loans = share.book.lentLoans(now)
       .filter((l) => l.borrower === borrower);
-    if (loans.length >= MOST_LOANS_A_BORROWER) return undefined;
-    if (leaseMs < SHORTEST_LEASE_MS) return undefined;
+    if (loans.length >= MAX_LOANS_PER_BORROWER) return undefined;
+    if (leaseMs < MIN_LEASE_MS) return undefined;
     const id = ++this.#loanId;
-    const end = now + lenderSpan(leaseMs);
+    const end = now + lenderLeaseMs(leaseMs);
     const loan = { id, borrower, tokensOnly, amount, end };
     const moved = share.lend(loan, { tokens, now });
     return this.#grant(row, loan, { tokens: moved, leaseMs });
--- a/src/decisions/budgets/rate_policy.ts
+++ b/src/decisions/budgets/rate_policy.ts
@@ -1,141 +1,150 @@
 /**
- * How much of an account's rate an instance should have.
+ * Decides what share of an account's rate an instance should have.
  *
  * Answers the load where an account's callers all use one instance, or move
- * from one to another. With fixed parts such an account is refused at a
- * fraction of its rate, which shows as wrongful refusals while the same
- * account's parts lie idle elsewhere. So a part goes where the demand is, and
- * leaves again when the demand does.
+ * from one to another. With fixed shares such an account is refused at a
+ * fraction of its rate, which shows as wrongful refusals while its shares at
+ * other instances are idle. So shares follow the demand.
  *
- * Answers also accounts whose burst is small for the number of instances: a
- * part of less than a token fills up unused at one instance while another
- * lacks the rest. Such an account's parts are pooled at one member of the zone
- * or of the fleet, and requests elsewhere borrow whole tokens from there.
+ * Also answers accounts whose burst is small for the number of instances: a
+ * share of less than a token fills up unused at one instance while another
+ * lacks the rest. Such an account's shares are pooled at one instance of the
+ * zone or of the fleet, and the others borrow whole tokens from it.
  *
  * @module
  */
 import type { RateShare } from "./rate_share.ts";
 
-/** An account without attempts for this long, in milliseconds, keeps nothing. */
+/** Time without attempts, in milliseconds, after which an account is idle. */
 export const IDLE_AFTER_MS = 1_500;
 
 /**
- * Tokens that a part must hold to be worth keeping apart: with fewer, chance
- * leaves a tenth and more of the rate unused at 0.8 of it.
+ * Burst, in tokens, below which a share is pooled: smaller buckets leave a
+ * tenth or more of the rate unused at a load of 0.8, by random arrivals alone.
  */
-export const APART_TOKENS = 5;
+export const MIN_SHARE_TOKENS = 5;
 
-/** Even parts that callers here must need before a pooled part comes here. */
-const APART_SHARES = 3;
+/** Local need, in even shares, that justifies a share of a pooled account. */
+const MIN_NEED_EVEN_SHARES = 3;
 
-/** Parts over the measured demand, since arrivals are not even. */
+/** Share per measured demand; above 1 since arrivals are not even. */
 const DEMAND_MARGIN = 1.3;
 
-/** Borrowed parts go back above this multiple of the need; stops flapping. */
-const KEEP_FACTOR = 1.25;
+/** Borrowed rate is returned above this multiple of the need, against flapping. */
+const RETURN_THRESHOLD = 1.25;
 
-/** Asking for less than this part of what is at hand is not worth a message. */
-const SMALLEST_ASK = 0.05;
+/** Smallest change worth a message, as a fraction of the usable share. */
+const MIN_CHANGE_FRACTION = 0.05;
 
-/** How long a request may wait, in milliseconds, for tokens that are there. */
-const SOON_MS = 20;
+/** A wait for local tokens up to this, in milliseconds, borrows none. */
+const MAX_LOCAL_WAIT_MS = 20;
 
-/** Who keeps an account's parts together. */
-export type Pool =
-  /** Nobody: each instance has enough tokens of its own. */
+/** Where an account's shares are pooled. */
+export type PoolScope =
+  /** Not pooled: each instance's share has enough tokens. */
   | "none"
-  /** One instance of each zone. */
+  /** At one instance of each zone. */
   | "zone"
-  /** One instance of all. */
+  /** At one instance of the fleet. */
   | "fleet";
 
-/** Tokens that the callers here use in this time are not lent. */
-const KEEP_TOKENS_MS = 50;
+/** Tokens for this much of the local demand, in milliseconds, are not lent. */
+const TOKEN_RESERVE_MS = 50;
 const MS_PER_S = 1_000;
 
-/** What is known of an account at this instance. */
+/** Inputs of the policy for one account at this instance. */
 export interface RateState {
   readonly waiting: number;
   readonly now: number;
-  readonly pool: Pool;
-  /** Whether this instance is the one that keeps the parts together. */
-  readonly keeper: boolean;
-  /** When another instance last asked for a part. */
-  readonly askedAt: number;
-  /** How many parts an even split has. */
+  readonly pool: PoolScope;
+  /** Whether the account's shares are pooled at this instance. */
+  readonly isPoolOwner: boolean;
+  /** When another instance last asked for a share. */
+  readonly lastAskedAt: number;
+  /** Number of seats, which is that of even shares. */
   readonly seats: number;
-  /** Demand of each other instance that asked of late, as parts of the rate. */
-  readonly others: readonly number[];
+  /** Recent demand of each other instance, as fractions of the rate. */
+  readonly peerDemands: readonly number[];
 }
 
-/** Where parts are kept together, by how many tokens each would hold. */
-export function poolFor(
+/** Chooses the pool by the tokens that each share would hold. */
+export function poolScopeFor(
   burst: number,
   { seats, zones }: { seats: number; zones: number },
-): Pool {
-  if (burst >= APART_TOKENS * seats) return "none";
-  return burst >= APART_TOKENS * zones ? "zone" : "fleet";
+): PoolScope {
+  if (burst >= MIN_SHARE_TOKENS * seats) return "none";
+  return burst >= MIN_SHARE_TOKENS * zones ? "zone" : "fleet";
 }
 
-/** The fraction that this instance's own callers need, by their demand. */
-export function needOf(share: RateShare, at: RateState): number {
-  if (at.now - share.demand.lastAt > IDLE_AFTER_MS) return 0;
-  return apartNeed(share, at, share.demand.perS / share.total.ratePerS);
+/** The fraction that this instance's own callers need. */
+export function neededFraction(share: RateShare, at: RateState): number {
+  if (at.now - share.demand.lastAttemptAt > IDLE_AFTER_MS) return 0;
+  return dedicatedFraction(share, at, share.demand.perS / share.total.ratePerS);
 }
 
-/** The fraction to ask others for, beyond what is at hand. */
-export function wantOf(share: RateShare, at: RateState): number {
-  const want = targetOf(share, at) - share.usable;
-  return want > share.usable * SMALLEST_ASK ? want : 0;
+/** The fraction to borrow beyond the usable share; zero if it is too small. */
+export function missingFraction(share: RateShare, at: RateState): number {
+  const want = targetFraction(share, at) - share.rateFraction;
+  return want > share.rateFraction * MIN_CHANGE_FRACTION ? want : 0;
 }
 
-/** What a demand needs for itself; nothing where it lives on single tokens. */
-function apartNeed(share: RateShare, at: RateState, demand: number): number {
+/** The share that a demand needs; zero if single borrowed tokens serve it. */
+function dedicatedFraction(
+  share: RateShare,
+  at: RateState,
+  demand: number,
+): number {
   const need = demand * DEMAND_MARGIN;
   const { burst } = share.total;
   const pooled = at.pool !== "none" && (
-    need * burst < APART_TOKENS || need * at.seats < APART_SHARES
+    need * burst < MIN_SHARE_TOKENS || need * at.seats < MIN_NEED_EVEN_SHARES
   );
   return pooled ? 0 : Math.min(1, need);
 }
 
-/** The fraction to have: a keeper has all that others do not need apart. */
-function targetOf(share: RateShare, at: RateState): number {
-  const need = needOf(share, at);
-  if (!keeps(share, at)) return need;
-  const apart = at.others.reduce((n, d) => n + apartNeed(share, at, d), 0);
-  return Math.max(need, 1 - apart);
+/** The fraction to have; for a pool owner, all that other instances don't need. */
+function targetFraction(share: RateShare, at: RateState): number {
+  const need = neededFraction(share, at);
+  if (!ownsActivePool(share, at)) return need;
+  const dedicated = at.peerDemands.reduce(
+    (n, d) => n + dedicatedFraction(share, at, d),
+    0,
+  );
+  return Math.max(need, 1 - dedicated);
 }
 
-/** Whole tokens to ask others for at once, for the requests that wait. */
-export function tokensWanted(share: RateShare, at: RateState): number {
-  if (at.waiting === 0 || share.waitMs(at.now, at.waiting) <= SOON_MS) return 0;
+/** Whole tokens to borrow at once for the waiting requests. */
+export function missingTokens(share: RateShare, at: RateState): number {
+  if (
+    at.waiting === 0 || share.waitMs(at.now, at.waiting) <= MAX_LOCAL_WAIT_MS
+  ) return 0;
   return Math.ceil(at.waiting - share.tokens(at.now));
 }
 
-/** Tokens that may be lent at once; what this instance is about to use stays. */
-export function tokensToSpare(share: RateShare, at: RateState): number {
-  const soon = share.demand.perS * KEEP_TOKENS_MS / MS_PER_S;
+/** Tokens that may be lent at once, less those about to be used here. */
+export function lendableTokens(share: RateShare, at: RateState): number {
+  const soon = share.demand.perS * TOKEN_RESERVE_MS / MS_PER_S;
   return Math.max(0, share.tokens(at.now) - at.waiting - soon);
 }
 
-/** The fraction that may be lent without hurting this instance's callers. */
-export function spareOf(share: RateShare, at: RateState): number {
-  const spare = share.usable - needOf(share, at);
-  return Math.max(0, Math.min(spare, share.spareOwn(at.now)));
+/** The fraction that this instance's callers do not need and may be lent. */
+export function lendableFraction(share: RateShare, at: RateState): number {
+  const spare = share.rateFraction - neededFraction(share, at);
+  return Math.max(0, Math.min(spare, share.unlentOwn(at.now)));
 }
 
 /** The borrowed fraction that is no longer needed. */
-export function surplusOf(share: RateShare, at: RateState): number {
-  if (at.waiting > 0 && !at.keeper) return 0;
-  const surplus = share.usable - targetOf(share, at) * KEEP_FACTOR;
-  if (surplus <= share.usable * SMALLEST_ASK) return 0;
+export function surplusFraction(share: RateShare, at: RateState): number {
+  if (at.waiting > 0 && !at.isPoolOwner) return 0;
+  const surplus = share.rateFraction -
+    targetFraction(share, at) * RETURN_THRESHOLD;
+  if (surplus <= share.rateFraction * MIN_CHANGE_FRACTION) return 0;
   return Math.min(surplus, share.returnable(at.now));
 }
 
-/** Whether this instance keeps the parts of an account that is in use. */
-function keeps(share: RateShare, at: RateState): boolean {
-  if (!at.keeper) return false;
-  const usedAt = Math.max(share.demand.lastAt, at.askedAt);
+/** Whether this instance pools the shares of an account that is in use. */
+function ownsActivePool(share: RateShare, at: RateState): boolean {
+  if (!at.isPoolOwner) return false;
+  const usedAt = Math.max(share.demand.lastAttemptAt, at.lastAskedAt);
   return at.now - usedAt <= IDLE_AFTER_MS;
 }
--- a/src/decisions/budgets/rate_row.ts
+++ b/src/decisions/budgets/rate_row.ts
@@ -1,61 +1,61 @@
 /**
- * One account's row in the table of rates.
+ * Per-account state of the rate budgets.
  *
  * @module
  */
 import type { AccountId } from "../../core/mod.ts";
 import type { BucketSize } from "../limits/token_bucket.ts";
-import type { OnUnaccounted } from "./invariant.ts";
-import type { Pool } from "./rate_policy.ts";
+import type { OnOverallocated } from "./invariant.ts";
+import type { PoolScope } from "./rate_policy.ts";
 import { RateShare } from "./rate_share.ts";
 
-/** One account's row. */
+/** State of one account's rate at this instance. */
 export interface RateRow {
   readonly account: AccountId;
   readonly share: RateShare;
-  /** Requests that wait for a token here. */
+  /** Requests waiting for a token at this instance. */
   waiting: number;
-  /** Ticks in a row in which something was missing. */
-  missedTicks: number;
-  /** When another instance last asked for a part. */
-  askedAt: number;
-  pool: Pool;
-  /** The instance that keeps the account's parts together; itself, maybe. */
-  keeper: string | undefined;
-  /** Demand that other instances told, as a fraction of the rate. */
+  /** Consecutive ticks in which the share was too small. */
+  shortTicks: number;
+  /** When another instance last asked for a share. */
+  lastAskedAt: number;
+  pool: PoolScope;
+  /** The instance that pools the account's shares, possibly this one. */
+  poolOwner: string | undefined;
+  /** Demand reported by other instances, as a fraction of the rate. */
   readonly peerDemand: Map<string, { demand: number; at: number }>;
 }
 
-/** What another instance tells of its demand counts so long, in milliseconds. */
-const DEMAND_FRESH_MS = 1_500;
+/** Time, in milliseconds, for which a reported demand is valid. */
+const DEMAND_TTL_MS = 1_500;
 
-/** Makes a row that has nothing yet. */
-export function newRow(
+/** Creates a row without a share. */
+export function newRateRow(
   account: AccountId,
   total: BucketSize,
   now: number,
-  onUnaccounted?: OnUnaccounted,
+  onOverallocated?: OnOverallocated,
 ): RateRow {
   return {
     account,
-    share: new RateShare(total, now, onUnaccounted),
+    share: new RateShare(total, now, onOverallocated),
     waiting: 0,
-    missedTicks: 0,
-    askedAt: -Infinity,
+    shortTicks: 0,
+    lastAskedAt: -Infinity,
     pool: "none",
-    keeper: undefined,
+    poolOwner: undefined,
     peerDemand: new Map(),
   };
 }
 
-/** The demand of the callers here, as a fraction of the rate. */
-export function demandOf(row: RateRow): number {
+/** The demand of this instance's callers, as a fraction of the rate. */
+export function demandFraction(row: RateRow): number {
   return row.share.demand.perS / row.share.total.ratePerS;
 }
 
-/** What each other instance told of its demand of late. */
+/** Recent demand reported by each other instance. */
 export function peerDemands(row: RateRow, now: number): number[] {
   return [...row.peerDemand.values()]
-    .filter(({ at }) => now - at < DEMAND_FRESH_MS)
+    .filter(({ at }) => now - at < DEMAND_TTL_MS)
     .map(({ demand }) => demand);
 }
--- a/src/decisions/budgets/rate_share.ts
+++ b/src/decisions/budgets/rate_share.ts
@@ -1,21 +1,21 @@
 /**
- * One account's share of its rate and burst at one instance.
+ * An instance's share of one account's rate and burst.
  *
- * The spendable part is what falls to the instance's seats, less what it lent,
- * plus what it borrowed. Rate, burst and tokens always move together: a
- * lender's bucket shrinks and gives up tokens before the borrower's grows, so
- * the tokens of all instances never pass the burst, and never arrive faster
- * than the rate.
+ * The usable share is that of the instance's seats, less what it lent, plus
+ * what it borrowed. Rate, burst and tokens always move together: a lender's
+ * bucket shrinks and removes tokens before the borrower's grows, so the tokens
+ * of all instances never exceed the burst, and never arrive faster than the
+ * rate.
  *
  * @module
  */
 import { type BucketSize, TokenBucket } from "../limits/token_bucket.ts";
 import { DemandMeter } from "./demand_meter.ts";
 import {
-  failUnaccounted,
   invariant,
-  type OnUnaccounted,
+  type OnOverallocated,
   ROUNDING,
+  throwOnOverallocation,
 } from "./invariant.ts";
 import {
   type BorrowedLoan,
@@ -23,10 +23,10 @@
   LoanBook,
   type NewLoan,
 } from "./loan_book.ts";
-import { leaseWithin, lenderSpan } from "./lease.ts";
+import { lenderLeaseMs, maxLeaseWithin } from "./lease.ts";
 import type { Entitlement } from "./seat_shares.ts";
 
-/** One account's row in the table of rates. */
+/** The share of one account's rate, with its loans and token bucket. */
 export class RateShare {
   readonly book = new LoanBook();
   readonly demand: DemandMeter;
@@ -34,96 +34,97 @@
   #total: BucketSize;
   #own: Entitlement = { amount: 0, until: Infinity };
   #lapses = 0;
-  #usable = 0;
-  #room = 0;
-  /** Whether its parts pass the whole, so that nothing is given out. */
+  #rateFraction = 0;
+  #burstFraction = 0;
+  /** Whether the share exceeds the total, so that no tokens are granted. */
   #suspended = false;
-  readonly #onUnaccounted: OnUnaccounted;
+  readonly #onOverallocated: OnOverallocated;
 
   /**
-   * @param onUnaccounted Told once when the parts pass the whole. Where it
-   * returns, this share gives nothing out until they fit again: other accounts
-   * are served on, and this one cannot pass its rate by a fault of the program.
+   * @param onOverallocated Called once when the share exceeds the total. If it
+   * returns, this share grants and lends nothing until it fits again: other
+   * accounts are still served, and a program fault cannot put this one above
+   * its rate.
    */
   constructor(
     total: BucketSize,
     now: number,
-    onUnaccounted: OnUnaccounted = failUnaccounted,
+    onOverallocated: OnOverallocated = throwOnOverallocation,
   ) {
-    this.#onUnaccounted = onUnaccounted;
+    this.#onOverallocated = onOverallocated;
     this.#total = total;
     this.demand = new DemandMeter(now);
     this.#bucket = new TokenBucket({ ratePerS: 0, burst: 0 }, now);
   }
 
-  /** The whole rate and burst, over all instances. */
+  /** The total rate and burst, over all instances. */
   get total(): BucketSize {
     return this.#total;
   }
 
-  /** The fraction of the rate that comes in here, as of the last refresh. */
-  get usable(): number {
-    return this.#usable;
+  /** The usable fraction of the rate, as of the last refresh. */
+  get rateFraction(): number {
+    return this.#rateFraction;
   }
 
-  /** The fraction of the burst that fits in here, as of the last refresh. */
-  get room(): number {
-    return this.#room;
+  /** The usable fraction of the burst, as of the last refresh. */
+  get burstFraction(): number {
+    return this.#burstFraction;
   }
 
-  /** Whether more rate is lent than now falls to this instance's seats. */
-  overLent(now: number): boolean {
+  /** Whether more rate is lent than the share of this instance's seats. */
+  isOverLent(now: number): boolean {
     return this.book.lentRate(now) > this.#own.amount + ROUNDING;
   }
 
-  /** What falls to this instance's seats and is not lent. */
-  spareOwn(now: number): number {
+  /** The share of this instance's seats that is not lent. */
+  unlentOwn(now: number): number {
     return Math.max(0, this.#own.amount - this.book.lentRate(now));
   }
 
   /**
    * The longest lease, in milliseconds, for lending `more` rate; zero if there
-   * is none to lend. Rate is lent from the own part alone: borrowed parts that
-   * were lent on could come round to their lender, and each lease of the circle
-   * would wait for the next to be prolonged until all of them end at once.
+   * is none to lend. Rate is lent only from the share of the own seats: if
+   * borrowed rate were lent again, loans could form a cycle in which each lease
+   * depends on the renewal of the next, until all of them expire at once.
    */
-  rateLease(more: number, now: number): number {
+  maxRateLeaseMs(more: number, now: number): number {
     const { amount, until } = this.#own;
     if (this.#suspended) return 0;
     if (this.book.lentRate(now) + more > amount + ROUNDING) return 0;
-    const covered = amount + this.#backing(now);
+    const covered = amount + this.#backingRate(now);
     if (this.book.lentTotal(now) + more > covered + ROUNDING) return 0;
-    return Math.max(0, leaseWithin(until - now));
+    return Math.max(0, maxLeaseWithin(until - now));
   }
 
   /**
-   * The longest lease, in milliseconds, for lending room for tokens; zero if
-   * there is none. Room may be lent on from borrowed parts that outlast it; a
-   * loan that outlasted what it is lent from would be spent beside the part of
-   * whoever has that by then.
+   * The longest lease, in milliseconds, for lending tokens with their burst
+   * capacity; zero if there is none. They may be lent from borrowed loans that
+   * expire later; a loan that outlived its source would be spent in addition to
+   * the share of the source's next holder.
    */
-  tokenLease(more: number, now: number): number {
+  maxTokenLeaseMs(more: number, now: number): number {
     if (this.#suspended) return 0;
     const needed = this.book.lentTotal(now) + more - ROUNDING;
     let covered = this.#own.amount;
-    let end = Math.min(this.#own.until, now + lenderSpan(TOKEN_LEASE_MS));
-    if (covered >= needed) return Math.max(0, leaseWithin(end - now));
+    let end = Math.min(this.#own.until, now + lenderLeaseMs(TOKEN_LEASE_MS));
+    if (covered >= needed) return Math.max(0, maxLeaseWithin(end - now));
     for (const loan of this.#rateLoans(now)) {
       covered += loan.amount;
       end = Math.min(end, loan.end);
-      if (covered >= needed) return Math.max(0, leaseWithin(end - now));
+      if (covered >= needed) return Math.max(0, maxLeaseWithin(end - now));
     }
     return 0;
   }
 
-  /** The borrowed part that backs no loan of this instance. */
+  /** The borrowed rate that backs no loan made by this instance. */
   returnable(now: number): number {
-    const free = this.#own.amount + this.#backing(now) -
+    const free = this.#own.amount + this.#backingRate(now) -
       this.book.lentTotal(now);
     return Math.max(0, Math.min(free, this.book.borrowedRate(now)));
   }
 
-  /** Takes over a new rate and burst; the fractions stay. */
+  /** Applies a new rate and burst; the fractions are unchanged. */
   setTotal(total: BucketSize, now: number): void {
     this.refresh(this.#own, now);
     this.#total = total;
@@ -131,10 +132,10 @@
   }
 
   /**
-   * Brings the share to `now`. Parts that ended meanwhile count up to their
-   * end and no longer, whether or not the program was paused. `lapses` counts
-   * how often the own part has ended: without a lapse since the last refresh
-   * it was renewed in time, though this account was not looked at.
+   * Brings the share to `now`. Amounts that expired meanwhile count up to their
+   * expiry only, even if the process was paused. `lapses` is how often the own
+   * share has expired: without a lapse since the last refresh it was renewed in
+   * time, even if this account was not refreshed.
    */
   refresh(own: Entitlement, now: number, lapses = this.#lapses): void {
     if (lapses === this.#lapses && own.until > now) {
@@ -152,33 +153,33 @@
     this.#resize(now);
   }
 
-  /** Spends `count` tokens if there are as many. */
+  /** Takes `count` tokens if they are available. */
   take(now: number, count = 1): boolean {
     return this.#bucket.take(now, count);
   }
 
-  /** Milliseconds until `count` tokens are there at the present part. */
+  /** Milliseconds until `count` tokens are available at the present share. */
   waitMs(now: number, count: number): number {
-    const over = count - this.#room * this.#total.burst;
+    const over = count - this.#burstFraction * this.#total.burst;
     if (over <= 0) return this.#bucket.waitMs(now, count);
-    if (this.#usable <= 0) return Infinity;
-    const rate = this.#usable * this.#total.ratePerS;
+    if (this.#rateFraction <= 0) return Infinity;
+    const rate = this.#rateFraction * this.#total.ratePerS;
     return (count - this.#bucket.tokens(now)) / rate * MS_PER_S;
   }
 
-  /** Tokens at hand. */
+  /** Available tokens. */
   tokens(now: number): number {
     return this.#bucket.tokens(now);
   }
 
-  /** Lends a part; gives how many tokens go with it, `tokens` at most. */
+  /** Makes a loan; returns how many tokens go with it, at most `tokens`. */
   lend(
     loan: NewLoan,
     { tokens, now }: { tokens: number; now: number },
   ): number {
     invariant(
-      loan.amount <= this.#room + ROUNDING,
-      `lends ${loan.amount} of ${this.#room}`,
+      loan.amount <= this.#burstFraction + ROUNDING,
+      `lends ${loan.amount} of a share of ${this.#burstFraction}`,
     );
     const most = Math.min(tokens, loan.amount * this.#total.burst);
     const moved = this.#bucket.remove(now, most);
@@ -187,7 +188,7 @@
     return moved;
   }
 
-  /** Takes in a part that came back, with the tokens that came with it. */
+  /** Takes back the returned part of a loan with its tokens. */
   takeBack(
     loan: LentLoan,
     { amount, tokensBack, now }: {
@@ -200,24 +201,25 @@
     if (freed <= 0) return;
     const tokens = Math.max(0, tokensBack - loan.tokensBack);
     loan.tokensBack = Math.max(loan.tokensBack, tokensBack);
-    this.book.returned(loan, amount, now);
+    this.book.reduceLent(loan, amount, now);
     this.#resize(now);
     this.#bucket.add(now, Math.min(tokens, freed * this.#total.burst));
   }
 
-  /** Gives back part of a loan, with its part of the tokens. */
-  giveBack(loan: BorrowedLoan, by: number, now: number): void {
+  /** Returns `by` of a borrowed loan with a proportional part of the tokens. */
+  returnBorrowed(loan: BorrowedLoan, by: number, now: number): void {
     invariant(
       loan.tokensOnly || by <= this.returnable(now) + ROUNDING,
-      "gives back what it lent",
+      "returns borrowed rate that it has lent",
     );
-    const tokens = this.#bucket.tokens(now) * by / Math.max(by, this.#room);
+    const tokens = this.#bucket.tokens(now) * by /
+      Math.max(by, this.#burstFraction);
     const moved = this.#bucket.remove(now, tokens);
-    this.book.lower(loan, { by, tokens: moved, now });
+    this.book.reduceBorrowed(loan, { by, tokens: moved, now });
     this.#resize(now);
   }
 
-  /** Takes in what a lender granted; tokens only with a new loan. */
+  /** Records a lender's grant; tokens are added for a new loan only. */
   accept(
     grant: Parameters<LoanBook["accept"]>[0],
     { tokens, now }: { tokens: number; now: number },
@@ -228,12 +230,12 @@
     this.#bucket.add(now, Math.min(tokens, grant.amount * this.#total.burst));
   }
 
-  #has(now: number): number {
+  #heldFraction(now: number): number {
     return this.#own.amount + this.book.borrowedTotal(now);
   }
 
-  /** Borrowed rate that outlasts every loan of tokens made from here. */
-  #backing(now: number): number {
+  /** Borrowed rate that expires no earlier than any loan of tokens made here. */
+  #backingRate(now: number): number {
     const last = this.book.lentLoans(now)
       .filter((loan) => loan.tokensOnly)
       .reduce((end, loan) => Math.max(end, loan.end), now);
@@ -242,7 +244,7 @@
       .reduce((sum, loan) => sum + loan.amount, 0);
   }
 
-  /** Borrowed parts with rate, the longest lease first. */
+  /** Borrowed loans with rate, the longest lease first. */
   #rateLoans(now: number): BorrowedLoan[] {
     return this.book.borrowedLoans(now)
       .filter((loan) => !loan.tokensOnly)
@@ -256,22 +258,24 @@
   #resize(at: number): void {
     const own = this.#own.amount;
     const rate = own + this.book.borrowedRate(at) - this.book.lentRate(at);
-    const room = this.#has(at) - this.book.lentTotal(at);
-    const fits = rate <= 1 + ROUNDING && room <= 1 + ROUNDING;
+    const burst = this.#heldFraction(at) - this.book.lentTotal(at);
+    const fits = rate <= 1 + ROUNDING && burst <= 1 + ROUNDING;
     if (!fits && !this.#suspended) {
-      this.#onUnaccounted(`parts of ${rate} and ${room} pass the whole`);
+      this.#onOverallocated(
+        `shares ${rate} of rate and ${burst} of burst exceed the total`,
+      );
     }
     this.#suspended = !fits;
-    this.#usable = fits ? Math.max(0, rate) : 0;
-    this.#room = fits ? Math.max(0, room) : 0;
+    this.#rateFraction = fits ? Math.max(0, rate) : 0;
+    this.#burstFraction = fits ? Math.max(0, burst) : 0;
     this.#bucket.resize({
-      ratePerS: this.#total.ratePerS * this.#usable,
-      burst: this.#total.burst * this.#room,
+      ratePerS: this.#total.ratePerS * this.#rateFraction,
+      burst: this.#total.burst * this.#burstFraction,
     }, at);
   }
 }
 
 const MS_PER_S = 1_000;
 
-/** Tokens are lent to requests that wait; a round trip and some spare. */
+/** Lease of tokens lent to waiting requests: a round trip and some spare. */
 const TOKEN_LEASE_MS = 600;
--- a/src/decisions/budgets/rate_share_test.ts
+++ b/src/decisions/budgets/rate_share_test.ts
@@ -2,12 +2,14 @@
 import { InvariantError } from "./invariant.ts";
 import { RateShare } from "./rate_share.ts";
 
-const WHOLE = { ratePerS: 100, burst: 100 };
+const TOTAL = { ratePerS: 100, burst: 100 };
 const LEASE_MS = 1_000;
 
-/** A share that owns everything, and is then granted a part on top. */
-function overGranted(onUnaccounted?: (what: string) => void): RateShare {
-  const share = new RateShare(WHOLE, 0, onUnaccounted);
+/** A share that owns the total, and is then granted a loan in addition. */
+function overallocatedShare(
+  onOverallocated?: (what: string) => void,
+): RateShare {
+  const share = new RateShare(TOTAL, 0, onOverallocated);
   share.refresh({ amount: 1, until: 10_000 }, 0);
   const grant = {
     id: 1,
@@ -21,29 +23,29 @@
   return share;
 }
 
-test("a share that was granted more than the whole gives nothing out, and says so", (t) => {
-  // Another instance grants a part of an account's rate that this instance has
-  // already. Were that an uncaught error, the process would end and callers of
-  // every account with it; were it taken, the account would pass its rate.
-  const told: string[] = [];
-  const share = overGranted((what) => told.push(what));
-  t.is(told.length, 1);
+test("a share granted more than the total grants no tokens and reports it", (t) => {
+  // Another instance lends rate that this instance already has. An uncaught
+  // error would end the process and fail the callers of every account; using
+  // the loan would put the account above its rate.
+  const reports: string[] = [];
+  const share = overallocatedShare((what) => reports.push(what));
+  t.is(reports.length, 1);
   t.false(share.take(0));
-  t.is(share.rateLease(0.1, 0), 0);
-  t.is(share.tokenLease(0.1, 0), 0);
+  t.is(share.maxRateLeaseMs(0.1, 0), 0);
+  t.is(share.maxTokenLeaseMs(0.1, 0), 0);
 });
 
-test("a suspended share gives out again once its parts fit", (t) => {
-  // The grant ends with its lease. The account must not stay refused.
-  const told: string[] = [];
-  const share = overGranted((what) => told.push(what));
+test("a suspended share grants tokens again once it fits the total", (t) => {
+  // The loan expires with its lease. The account must not stay refused.
+  const reports: string[] = [];
+  const share = overallocatedShare((what) => reports.push(what));
   share.refresh({ amount: 1, until: 10_000 }, LEASE_MS + 1);
   share.refresh({ amount: 1, until: 10_000 }, LEASE_MS + 1_000);
   t.true(share.take(LEASE_MS + 1_000));
-  t.is(told.length, 1);
+  t.is(reports.length, 1);
 });
 
-test("a model or test that passes the whole fails at once", (t) => {
-  // Nobody reads a log there, and a fault that is passed over is not found.
-  t.throws(() => overGranted(), { instanceOf: InvariantError });
+test("exceeding the total throws at once in a model or test", (t) => {
+  // Logs are not read there, so a fault that is only logged would be missed.
+  t.throws(() => overallocatedShare(), { instanceOf: InvariantError });
 });
--- a/src/decisions/budgets/seat_shares.ts
+++ b/src/decisions/budgets/seat_shares.ts
@@ -1,14 +1,14 @@
 /**
- * What falls to this instance of a total: its seats' parts of all seats.
+ * Computes this instance's share of a total from the seats it holds.
  *
- * Whatever is divided is divided by the document, so a change of the number of
- * seats must not let two instances count by different documents. A part falls
- * at once when the document says so; it rises only after every seat holder is
- * known to run that document and every loan made under the older one has
- * ended. Otherwise the sum of the parts passes the total for as long as an
- * instance lags, which shows as an account above its rate after a change of
- * the regions section. For the same reason a seat that changed hands counts
- * only after its former holder's loans have surely ended.
+ * Totals are divided over the seats in the document, so instances must not use
+ * different documents at once when the number of seats changes. A share
+ * decreases at once when the document says so; it increases only after every
+ * seat holder is known to use that document and every loan made under the older
+ * one has expired. Otherwise the shares would exceed the total while an
+ * instance lags, which shows as an account above its rate after a change of the
+ * regions section. For the same reason a seat with a new holder is used only
+ * after the former holder's loans are sure to have expired.
  *
  * @module
  */
@@ -16,17 +16,17 @@
 import { type SteeringDocument, zonesOf } from "../../document/mod.ts";
 import type { HeldSeat, SeatDirectory } from "../../membership/mod.ts";
 
-/** An amount, and when it ends unless it is renewed. */
+/** An amount, and when it expires unless renewed. */
 export interface Entitlement {
   readonly amount: number;
   readonly until: number;
 }
 
-interface Division {
+interface SeatLayout {
   readonly generation: number;
   readonly byZone: ReadonlyMap<ZoneId, number>;
   readonly seats: number;
-  /** When this instance took it over. */
+  /** When this instance adopted it. */
   readonly since: number;
 }
 
@@ -35,161 +35,164 @@
   since: number;
 }
 
-/** What seat shares need. */
+/** Dependencies of seat shares. */
 export interface SeatSharesDeps {
   readonly instance: string;
   readonly seats: SeatDirectory;
-  /** How long work and loans of an older division may last, in milliseconds. */
+  /** How long requests and loans of an older layout may last, in milliseconds. */
   readonly holdMs: () => number;
 }
 
 const FIRST_EPOCH = 1;
 
-/** Before the first document nothing was divided, so no part is anybody's. */
-const NO_DIVISION: Division = {
+/** The layout before the first document, in which no instance has a share. */
+const NO_LAYOUT: SeatLayout = {
   generation: -1,
   byZone: new Map(),
   seats: 0,
   since: -Infinity,
 };
 
-/** Turns held seats into parts. */
+/** Converts held seats into shares of totals. */
 export class SeatShares {
   readonly #deps: SeatSharesDeps;
-  readonly #seen = new Map<string, SeenSeat>();
-  readonly #settled = new Map<string, number>();
-  /** Oldest first; more than one while a change is not yet known everywhere. */
-  #divisions: Division[] = [NO_DIVISION];
+  readonly #seenSeats = new Map<string, SeenSeat>();
+  readonly #settledGenerations = new Map<string, number>();
+  /** Oldest first; more than one until all seat holders use the newest. */
+  #layouts: SeatLayout[] = [NO_LAYOUT];
   #generation = 0;
-  /** The newest generation of the division before the present one. */
-  #formerGeneration = 0;
+  /** The newest generation before the present layout. */
+  #previousGeneration = 0;
 
   constructor(deps: SeatSharesDeps) {
     this.#deps = deps;
   }
 
-  /** Takes over a newly accepted document. */
+  /** Applies a newly accepted document. */
   adopt(document: SteeringDocument, generation: number, now: number): void {
     const byZone = new Map(
       zonesOf(document).map(({ zone, instances }) => [zone, instances]),
     );
-    const former = this.#generation;
+    const previous = this.#generation;
     this.#generation = generation;
-    const newest = this.#divisions[this.#divisions.length - 1] ?? NO_DIVISION;
-    if (sameDivision(newest.byZone, byZone)) return;
+    const newest = this.#layouts[this.#layouts.length - 1] ?? NO_LAYOUT;
+    if (sameLayout(newest.byZone, byZone)) return;
     const seats = [...byZone.values()].reduce((n, i) => n + i, 0);
-    // An instance that begins has nothing in use by an older division.
-    const since = newest === NO_DIVISION ? -Infinity : now;
-    this.#formerGeneration = former;
-    this.#divisions.push({ generation, byZone, seats, since });
+    // A starting instance has no requests or loans under an older layout.
+    const since = newest === NO_LAYOUT ? -Infinity : now;
+    this.#previousGeneration = previous;
+    this.#layouts.push({ generation, byZone, seats, since });
   }
 
-  /** How many seats and zones totals are divided over. */
+  /** The number of seats and zones that totals are divided over. */
   get size(): { readonly seats: number; readonly zones: number } {
-    const newest = this.#divisions[this.#divisions.length - 1] ?? NO_DIVISION;
+    const newest = this.#layouts[this.#layouts.length - 1] ?? NO_LAYOUT;
     return { seats: newest.seats, zones: newest.byZone.size };
   }
 
-  /** The newest generation by whose division alone this instance works. */
+  /** The newest generation with no requests or loans of an older layout. */
   settledGeneration(now: number): number {
-    const newest = this.#divisions[this.#divisions.length - 1] ?? NO_DIVISION;
+    const newest = this.#layouts[this.#layouts.length - 1] ?? NO_LAYOUT;
     const settled = now >= newest.since + this.#deps.holdMs();
-    return settled ? this.#generation : this.#formerGeneration;
+    return settled ? this.#generation : this.#previousGeneration;
   }
 
-  /** Takes in by which generation's division another instance works. */
-  hear(instance: string, settledGeneration: number): void {
-    this.#settled.set(instance, settledGeneration);
+  /** Records the settled generation reported by another instance. */
+  recordSettledGeneration(instance: string, settledGeneration: number): void {
+    this.#settledGenerations.set(instance, settledGeneration);
   }
 
-  /** Drops older divisions once every seat holder works by the newest. */
+  /** Drops older layouts once every seat holder has settled on the newest. */
   run(now: number): void {
-    const newest = this.#divisions[this.#divisions.length - 1];
-    if (newest === undefined || this.#divisions.length === 1) return;
-    this.hear(this.#deps.instance, this.settledGeneration(now));
+    const newest = this.#layouts[this.#layouts.length - 1];
+    if (newest === undefined || this.#layouts.length === 1) return;
+    this.recordSettledGeneration(
+      this.#deps.instance,
+      this.settledGeneration(now),
+    );
     const agreed = this.#deps.seats.entries().every((seat) =>
       seat.holder === undefined ||
-      (this.#settled.get(seat.holder) ?? -1) >= newest.generation
+      (this.#settledGenerations.get(seat.holder) ?? -1) >= newest.generation
     );
-    if (agreed) this.#divisions = [newest];
+    if (agreed) this.#layouts = [newest];
   }
 
   /**
-   * The part of a fleet-wide total, from 0 to 1.
+   * This instance's fraction of a fleet-wide total, from 0 to 1.
    *
-   * `holdMs` is how long parts may still be in use at a seat's former holder.
+   * `holdMs` is how long a seat's former holder may still use its share.
    */
   fraction(now: number, holdMs: number): Entitlement {
-    return this.#least(now, holdMs, (seat, division) => {
-      const seats = division.byZone.get(seat.zone) ?? 0;
-      return seat.index < seats ? seat.part / division.seats : 0;
+    return this.#minOverLayouts(now, holdMs, (seat, layout) => {
+      const seats = layout.byZone.get(seat.zone) ?? 0;
+      return seat.index < seats ? seat.part / layout.seats : 0;
     });
   }
 
   /**
-   * Whether there are seats and all of them count, so that this instance has
-   * what falls to it. Until then whoever relies on it finds no room here.
+   * Whether this instance holds seats and may use all of them. Until then it
+   * cannot serve its full share.
    */
   settled(now: number, holdMs: number): boolean {
     const held = this.#deps.seats.held(now);
     return held.length > 0 &&
-      held.every((seat) => this.#counts(seat, now, holdMs));
+      held.every((seat) => this.#isUsable(seat, now, holdMs));
   }
 
-  /** Whole units of a total that belongs to one availability zone. */
+  /** This instance's whole units of one availability zone's total. */
   units(
     total: number,
     { zone, now, holdMs }: { zone: ZoneId; now: number; holdMs: number },
   ): Entitlement {
-    return this.#least(now, holdMs, (seat, division) => {
-      const seats = division.byZone.get(zone) ?? 0;
+    return this.#minOverLayouts(now, holdMs, (seat, layout) => {
+      const seats = layout.byZone.get(zone) ?? 0;
       if (seat.zone !== zone || seat.index >= seats) return 0;
       return Math.floor(evenUnits(total, seat.index, seats) * seat.part);
     });
   }
 
-  /** The smallest of what the divisions still in use leave to this instance. */
-  #least(
+  /** The smallest amount for this instance over the layouts still in use. */
+  #minOverLayouts(
     now: number,
     holdMs: number,
-    partOf: (seat: HeldSeat, division: Division) => number,
+    partOf: (seat: HeldSeat, layout: SeatLayout) => number,
   ): Entitlement {
     const held = this.#deps.seats.held(now);
     let amount = Infinity;
     let until = Infinity;
-    for (const division of this.#divisions) {
+    for (const layout of this.#layouts) {
       let sum = 0;
       for (const seat of held) {
         until = Math.min(until, seat.until);
-        if (!this.#counts(seat, now, holdMs)) continue;
-        if (division === NO_DIVISION && seat.epoch > FIRST_EPOCH) {
-          // The seat stood before this instance began, so it was divided then.
+        if (!this.#isUsable(seat, now, holdMs)) continue;
+        if (layout === NO_LAYOUT && seat.epoch > FIRST_EPOCH) {
+          // The seat had an earlier holder, so totals were already divided.
           sum = Infinity;
-        } else sum += partOf(seat, division);
+        } else sum += partOf(seat, layout);
       }
       amount = Math.min(amount, sum);
     }
     return { amount: Number.isFinite(amount) ? amount : 0, until };
   }
 
-  #counts(seat: HeldSeat, now: number, holdMs: number): boolean {
+  #isUsable(seat: HeldSeat, now: number, holdMs: number): boolean {
     if (seat.epoch <= FIRST_EPOCH) return true;
     const key = `${seat.zone}/${seat.index}`;
-    const seen = this.#seen.get(key);
+    const seen = this.#seenSeats.get(key);
     if (seen !== undefined && seen.epoch === seat.epoch) {
       return now >= seen.since + holdMs;
     }
-    this.#seen.set(key, { epoch: seat.epoch, since: now });
+    this.#seenSeats.set(key, { epoch: seat.epoch, since: now });
     return false;
   }
 }
 
-/** The part of `total` whole units that falls to a seat. */
-export function evenUnits(total: number, index: number, of: number): number {
-  return Math.floor(total / of) + (index < total % of ? 1 : 0);
+/** A seat's share of `total` whole units, split evenly over `count` seats. */
+export function evenUnits(total: number, index: number, count: number): number {
+  return Math.floor(total / count) + (index < total % count ? 1 : 0);
 }
 
-function sameDivision(
+function sameLayout(
   a: ReadonlyMap<ZoneId, number>,
   b: ReadonlyMap<ZoneId, number>,
 ): boolean {
--- a/src/decisions/budgets/seat_shares_test.ts
+++ b/src/decisions/budgets/seat_shares_test.ts
@@ -18,17 +18,17 @@
   });
 }
 
-test("a seat that changed hands is settled once its former holder's work ended", (t) => {
-  // An operator replaces an instance, sees that the new one serves, and stops
-  // the next. The new one's seat still rests, so the zone has no slot in use
-  // and its callers are refused.
+test("a seat is settled once its former holder's requests have ended", (t) => {
+  // Guards against an operator who replaces instances one by one stopping the
+  // next one while the new one's seat is still on hold: the zone would have no
+  // usable slots and refuse its callers.
   const shares = sharesOf([seat(2)]);
   t.false(shares.settled(0, HOLD_MS));
   t.false(shares.settled(HOLD_MS - 1, HOLD_MS));
   t.true(shares.settled(HOLD_MS, HOLD_MS));
 });
 
-test("a seat's first holder waits for nobody, and without a seat nothing is settled", (t) => {
+test("a first holder is settled at once, an instance without seats never", (t) => {
   t.true(sharesOf([seat(1)]).settled(0, HOLD_MS));
   t.false(sharesOf([]).settled(0, HOLD_MS));
 });
--- a/src/decisions/budgets/slot_budgets.ts
+++ b/src/decisions/budgets/slot_budgets.ts
@@ -1,13 +1,13 @@
 /**
- * The table of endpoints' slots at one instance, and its side of lending.
+ * Endpoint slots at one instance, as a lender and as a borrower.
  *
- * Answers the load where one instance of a zone has requests waiting while its
- * neighbour has slots free. Slots are whole and are lent inside a zone only.
- * A request may run until its deadline, whatever becomes of the lease, so a
- * slot counts as lent until its borrower says that it is free or until every
- * deadline that could have begun under the lease has passed. Were it taken
- * back with the lease, an endpoint would run more requests than it has slots,
- * which shows in its own count.
+ * Answers the load where one instance of a zone has requests waiting while
+ * another has free slots. Slots are whole and are lent within a zone only. A
+ * request may run until its deadline even if the lease expires, so a slot
+ * counts as lent until its borrower reports it free or until the deadline of
+ * every request that could have started under the lease has passed. If it were
+ * reclaimed with the lease, an endpoint would run more requests than it has
+ * slots, which shows in the endpoint's own count.
  *
  * @module
  */
@@ -28,39 +28,39 @@
   LenderAnswer,
   Party,
 } from "./budget_table.ts";
-import { isDue, toHeld } from "./held_loan.ts";
+import { needsReport, toHeldLoan } from "./held_loan.ts";
 import { invariant } from "./invariant.ts";
-import { LEASE_MS, leaseWithin, lenderSpan } from "./lease.ts";
+import { LEASE_MS, lenderLeaseMs, maxLeaseWithin } from "./lease.ts";
 import type { LentLoan } from "./loan_book.ts";
 import type { SeatShares } from "./seat_shares.ts";
-import { longestMs, newSlotRow, type SlotRow } from "./slot_row.ts";
+import { maxRequestMs, newSlotRow, type SlotRow } from "./slot_row.ts";
 
-/** What a table of slots needs. */
+/** Dependencies of the slot budgets. */
 export interface SlotBudgetsDeps {
   readonly self: BudgetPeer & Party;
   readonly shares: SeatShares;
   readonly peers: () => readonly BudgetPeer[];
-  /** How long a seat has surely not been used when it changes hands. */
+  /** Minimum time, in milliseconds, that a seat is unused between holders. */
   readonly restMs: () => number;
-  /** Requests in flight at an endpoint from here, at this very moment. */
+  /** This instance's current number of requests in flight at an endpoint. */
   readonly inFlight: (endpoint: EndpointId) => number;
 }
 
-/** Past its deadline a request may be in flight this long: it is abandoned. */
-const ABANDON_MS = 500;
-const SHORTEST_LEASE_MS = 100;
-/** Kept by a lender, so that its next request finds a slot even in a cut. */
-const RESERVE = 1;
-/** What is left of the peak after a tick: a second or two of memory. */
-const PEAK_FADE = 0.9;
+/** Time past its deadline after which a request in flight is abandoned. */
+const ABANDON_AFTER_MS = 500;
+const MIN_LEASE_MS = 100;
+/** Slots a lender keeps, so that its next request has one in a partition too. */
+const RESERVED_SLOTS = 1;
+/** Factor by which the peak decays per tick: a memory of one to two seconds. */
+const PEAK_DECAY = 0.9;
 
-/** Endpoints' slots, as a table that systems run over each tick. */
+/** Endpoint slots, updated once per tick. */
 export class SlotBudgets implements BudgetTable {
   readonly kind = BudgetKind.SLOTS;
   readonly #deps: SlotBudgetsDeps;
   readonly #rows = new Map<EndpointId, SlotRow>();
   readonly #plan = new Map<string, Map<SlotRow, number>>();
-  #longestMs = 0;
+  #maxRequestMs = 0;
   #loanId = 0;
   #lending = true;
 
@@ -68,31 +68,34 @@
     this.#deps = deps;
   }
 
-  /** Takes over the own zone's endpoints of a newly accepted document. */
+  /** Applies the endpoints of this zone from a newly accepted document. */
   adopt(document: SteeringDocument): void {
     const services = Object.values(document.services);
-    // A lowered deadline does not shorten requests that run already.
-    this.#longestMs = Math.max(this.#longestMs, ...services.map(longestMs));
-    const named = new Set<string>();
+    // A lowered deadline does not shorten requests in flight.
+    this.#maxRequestMs = Math.max(
+      this.#maxRequestMs,
+      ...services.map(maxRequestMs),
+    );
+    const configured = new Set<string>();
     for (const service of services) {
       for (const [id, entry] of Object.entries(service.endpoints)) {
         if (entry.zone !== this.#deps.self.zone) continue;
-        named.add(id);
+        configured.add(id);
         this.#adoptEndpoint(id as EndpointId, entry.slots);
       }
     }
     for (const [id, row] of this.#rows) {
-      if (!named.has(id)) row.slots = 0;
+      if (!configured.has(id)) row.slots = 0;
     }
   }
 
-  /** Requests that may be in flight at the endpoint from here. */
+  /** How many requests this instance may have in flight at the endpoint. */
   limit(endpoint: EndpointId, now: number): number {
     const row = this.#rows.get(endpoint);
     return row === undefined ? 0 : this.#limit(row, now);
   }
 
-  /** Takes in how many more slots are wanted. */
+  /** Records how many more slots are wanted. */
   want(endpoint: EndpointId, wanted: number): void {
     const row = this.#rows.get(endpoint);
     if (row !== undefined) row.wanted = wanted;
@@ -106,28 +109,28 @@
     return [...this.#rows.values()].some((row) => row.book.lentTotal(now) > 0);
   }
 
-  /** Gives back what is free and plans what to ask; once a tick. */
+  /** Returns free borrowed slots and plans requests; called once per tick. */
   run(now: number): void {
     this.#plan.clear();
-    const mates = this.#deps.peers()
+    const zonePeers = this.#deps.peers()
       .filter((p) => p.zone === this.#deps.self.zone);
     for (const row of this.#rows.values()) {
       const inFlight = this.#deps.inFlight(row.endpoint);
-      row.peak = Math.max(inFlight, row.peak * PEAK_FADE);
-      this.#giveBack(row, inFlight, now);
-      this.#planAsks(row, mates, now);
+      row.peak = Math.max(inFlight, row.peak * PEAK_DECAY);
+      this.#returnSurplus(row, inFlight, now);
+      this.#planAsks(row, zonePeers, now);
     }
   }
 
-  asksTo(lender: string, now: number): BudgetAsk[] {
+  dueAsks(lender: string, now: number): BudgetAsk[] {
     const planned = this.#plan.get(lender);
     this.#plan.delete(lender);
     const asks: BudgetAsk[] = [];
     for (const row of this.#rows.values()) {
       const wanted = planned?.get(row) ?? 0;
-      const held = row.book.toldTo(lender, now)
-        .filter((loan) => isDue(loan, now))
-        .map((loan) => toHeld(loan, now));
+      const held = row.book.loansToReport(lender, now)
+        .filter((loan) => needsReport(loan, now))
+        .map((loan) => toHeldLoan(loan, now));
       if (wanted === 0 && held.length === 0) continue;
       const key = row.endpoint;
       asks.push(create(BudgetAskSchema, {
@@ -158,7 +161,7 @@
     row.book.accept({ id, lender, incarnation, tokensOnly, amount, end }, now);
   }
 
-  learn(): void {}
+  recordDemand(): void {}
 
   #adoptEndpoint(endpoint: EndpointId, slots: number): void {
     const known = this.#rows.get(endpoint);
@@ -169,18 +172,18 @@
     this.#rows.set(endpoint, newSlotRow(endpoint, slots, this.holdMs()));
   }
 
-  /** How long requests of a former holder may run on, from its last start. */
+  /** How long requests and loans of a seat's former holder may last. */
   holdMs(): number {
-    return lenderSpan(LEASE_MS + this.#longestMs + ABANDON_MS);
+    return lenderLeaseMs(LEASE_MS + this.#maxRequestMs + ABANDON_AFTER_MS);
   }
 
-  /** Whether the slots of every seat held here are in use. */
+  /** Whether the slots of every seat held by this instance may be used. */
   settled(now: number): boolean {
-    return this.#deps.shares.settled(now, this.#restingMs());
+    return this.#deps.shares.settled(now, this.#seatHoldMs());
   }
 
-  /** How long a seat's slots still rest once the seat has changed hands. */
-  #restingMs(): number {
+  /** How long a seat's slots stay on hold after the seat has changed holder. */
+  #seatHoldMs(): number {
     return Math.max(0, this.holdMs() - this.#deps.restMs());
   }
 
@@ -188,7 +191,7 @@
     const own = this.#deps.shares.units(row.slots, {
       zone: this.#deps.self.zone as ZoneId,
       now,
-      holdMs: this.#restingMs(),
+      holdMs: this.#seatHoldMs(),
     });
     row.own = own.amount;
     row.ownUntil = own.until;
@@ -198,12 +201,12 @@
     return limit;
   }
 
-  /** Slots that this instance does without: lowers first, then says so. */
-  #giveBack(row: SlotRow, inFlight: number, now: number): void {
+  /** Returns expired and free borrowed slots; the limit falls before the report. */
+  #returnSurplus(row: SlotRow, inFlight: number, now: number): void {
     const limit = this.#limit(row, now);
     if (inFlight <= limit) {
-      for (const loan of row.book.endedLoans(now)) {
-        row.book.lower(loan, { by: loan.amount, tokens: 0, now });
+      for (const loan of row.book.expiredLoans(now)) {
+        row.book.reduceBorrowed(loan, { by: loan.amount, tokens: 0, now });
       }
     }
     if (row.wanted > 0) return;
@@ -211,24 +214,24 @@
     for (const loan of row.book.borrowedLoans(now)) {
       if (free <= 0) return;
       const by = Math.min(loan.amount, free);
-      row.book.lower(loan, { by, tokens: 0, now });
+      row.book.reduceBorrowed(loan, { by, tokens: 0, now });
       free -= by;
     }
   }
 
-  #planAsks(row: SlotRow, mates: BudgetPeer[], now: number): void {
-    const want = this.#shortOf(row, now);
-    if (want === 0 || mates.length === 0) return;
-    const wanted = Math.ceil(want / mates.length);
-    for (const { instance } of mates) {
+  #planAsks(row: SlotRow, zonePeers: BudgetPeer[], now: number): void {
+    const missing = this.#missingSlots(row, now);
+    if (missing === 0 || zonePeers.length === 0) return;
+    const wanted = Math.ceil(missing / zonePeers.length);
+    for (const { instance } of zonePeers) {
       const asks = this.#plan.get(instance) ?? new Map();
       asks.set(row, wanted);
       this.#plan.set(instance, asks);
     }
   }
 
-  /** Slots missing here: those waited for, or one more when all are in use. */
-  #shortOf(row: SlotRow, now: number): number {
+  /** Slots lacking here when all are in use: the wanted ones, or at least one. */
+  #missingSlots(row: SlotRow, now: number): number {
     const limit = this.#limit(row, now);
     const full = this.#deps.inFlight(row.endpoint) >= limit;
     if (!full || row.slots === 0) return 0;
@@ -243,25 +246,25 @@
     now: number,
   ): BudgetGrant[] {
     if (held.lenderIncarnation !== this.#deps.self.incarnation) return [];
-    const loan = row.book.lent(held.id, now);
+    const loan = row.book.lentLoan(held.id, now);
     if (loan === undefined || loan.borrower !== from.instance) return [];
-    row.book.returned(loan, held.amount, now);
+    row.book.reduceLent(loan, held.amount, now);
     if (loan.amount < held.amount || loan.amount === 0) return [];
     if (!held.renew || !this.#lending) return [];
-    if (this.#reclaims(row, loan, now)) return [];
-    const leaseMs = leaseWithin(row.ownUntil - now);
-    if (leaseMs < SHORTEST_LEASE_MS) return [];
-    row.book.prolong(loan, this.#lentUntil(leaseMs, now));
+    if (this.#shouldReclaim(row, loan, now)) return [];
+    const leaseMs = maxLeaseWithin(row.ownUntil - now);
+    if (leaseMs < MIN_LEASE_MS) return [];
+    row.book.extend(loan, this.#lentLoanEnd(leaseMs, now));
     return [this.#grant(row, loan, leaseMs)];
   }
 
-  /** A lender that is short itself lets a loan end. */
-  #reclaims(row: SlotRow, loan: LentLoan, now: number): boolean {
-    const coming = row.book.lentLoans(now)
+  /** Reclaims a loan if this lender lacks slots or has lent more than it owns. */
+  #shouldReclaim(row: SlotRow, loan: LentLoan, now: number): boolean {
+    const returning = row.book.lentLoans(now)
       .filter((l) => l.reclaimed)
       .reduce((sum, l) => sum + l.amount, 0);
-    const short = row.wanted > 0 ? this.#shortOf(row, now) : 0;
-    if (short > coming || row.own < row.book.lentTotal(now)) {
+    const short = row.wanted > 0 ? this.#missingSlots(row, now) : 0;
+    if (short > returning || row.own < row.book.lentTotal(now)) {
       loan.reclaimed = true;
     }
     return loan.reclaimed;
@@ -276,27 +279,27 @@
     if (!this.#lending) return undefined;
     const limit = this.#limit(row, now);
     const used = Math.max(this.#deps.inFlight(row.endpoint), row.peak);
-    const spare = limit - Math.ceil(used) - row.wanted - RESERVE;
+    const spare = limit - Math.ceil(used) - row.wanted - RESERVED_SLOTS;
     const own = row.own - row.book.lentTotal(now);
     const amount = Math.floor(Math.min(ask.wanted, spare, own));
-    const leaseMs = leaseWithin(row.ownUntil - now);
-    if (!(amount >= 1) || leaseMs < SHORTEST_LEASE_MS) return undefined;
+    const leaseMs = maxLeaseWithin(row.ownUntil - now);
+    if (!(amount >= 1) || leaseMs < MIN_LEASE_MS) return undefined;
     const loan = row.book.lend({
       id: ++this.#loanId,
       borrower: from.instance,
       tokensOnly: false,
       amount,
-      end: this.#lentUntil(leaseMs, now),
+      end: this.#lentLoanEnd(leaseMs, now),
     }, now);
     invariant(
       row.book.lentTotal(now) <= row.own,
-      `${row.endpoint}: lends more than its own`,
+      `${row.endpoint}: lends more than its own slots`,
     );
     return this.#grant(row, loan, leaseMs);
   }
 
-  #lentUntil(leaseMs: number, now: number): number {
-    return now + lenderSpan(leaseMs + this.#longestMs + ABANDON_MS);
+  #lentLoanEnd(leaseMs: number, now: number): number {
+    return now + lenderLeaseMs(leaseMs + this.#maxRequestMs + ABANDON_AFTER_MS);
   }
 
   #grant(
--- a/src/decisions/budgets/slot_row.ts
+++ b/src/decisions/budgets/slot_row.ts
@@ -1,5 +1,5 @@
 /**
- * One endpoint's row in the table of slots.
+ * Per-endpoint state of the slot budgets.
  *
  * @module
  */
@@ -7,19 +7,19 @@
 import type { Service } from "../../document/mod.ts";
 import { LoanBook } from "./loan_book.ts";
 
-/** One endpoint of the own zone. */
+/** Slots of one endpoint in this instance's zone. */
 export interface SlotRow {
   readonly endpoint: EndpointId;
   readonly book: LoanBook;
   slots: number;
   wanted: number;
-  /** The most in flight of late; slots below it are not lent or given back. */
+  /** Recent peak of requests in flight; slots up to it are not lent or returned. */
   peak: number;
   own: number;
   ownUntil: number;
 }
 
-/** Makes a row; loans are remembered while requests under them may run. */
+/** Creates a row; `holdMs` is how long requests under an expired loan may run. */
 export function newSlotRow(
   endpoint: EndpointId,
   slots: number,
@@ -36,8 +36,8 @@
   };
 }
 
-/** The longest that a request to the service may run, in milliseconds. */
-export function longestMs(service: Service): number {
+/** The longest deadline of the service's requests, in milliseconds. */
+export function maxRequestMs(service: Service): number {
   const routes = service.routes.map((r) => r.deadline_ms ?? 0);
   return Math.max(service.deadline_ms, ...routes);
 }
--- a/src/decisions/budgets/testing/lend_model.ts
+++ b/src/decisions/budgets/testing/lend_model.ts
@@ -1,10 +1,10 @@
 /**
- * A small model of lending, searched through completely: two instances, one
- * account, and every order of asking, delivering, repeating, losing, giving
- * back and waiting, up to a number of steps.
+ * An exhaustive search of a small lending model: two instances, one account,
+ * and every order of requests, returns, waits and message delivery, repetition
+ * and loss, up to a number of steps.
  *
- * Clocks run at the two ends of the allowed drift, the lender's fast and the
- * borrower's slow, which is the worst that a lease can meet.
+ * The lender's clock is fast and the borrower's slow, both by the maximum
+ * drift, which is the worst case for a lease.
  *
  * @module
  */
@@ -19,21 +19,21 @@
 import { RateBudgets } from "../rate_budgets.ts";
 import { SeatShares } from "../seat_shares.ts";
 
-/** How far the search goes. */
+/** Limits of the search. */
 export interface SearchBounds {
-  /** Steps from the beginning. */
+  /** Steps from the initial state. */
   readonly depth: number;
-  /** Messages on the way at once; more are lost. */
+  /** Messages in transit at once; more are lost. */
   readonly messages: number;
 }
 
-/** What the search found. */
+/** Numbers of distinct states reached and steps taken. */
 export interface SearchResult {
   readonly states: number;
   readonly steps: number;
 }
 
-/** One step: an action, and the message that it delivers, if any. */
+/** One step: an action, and the index of the message it delivers, if any. */
 interface Step {
   readonly action: "rate" | "tokens" | "wait" | "return" | "deliver" | "repeat";
   readonly message: number;
@@ -49,11 +49,11 @@
 
 const ACCOUNT = "a" as AccountId;
 const BURST = 8;
-/** Three steps end just inside a lease, four outside. */
+/** Three waits stay just within a lease, four exceed it. */
 const STEP_MS = 295;
 const START_MS = 5_000;
 
-/** Searches every order of steps; throws where parts pass the whole. */
+/** Searches every order of steps; throws if the shares exceed the total. */
 export function searchLending(bounds: SearchBounds): SearchResult {
   const seen = new Set<string>();
   let frontier: Step[][] = [[]];
@@ -61,14 +61,14 @@
   for (let depth = 0; depth < bounds.depth; depth++) {
     const next: Step[][] = [];
     for (const path of frontier) {
-      for (const step of replay(path, bounds).enabled()) {
-        const grown = [...path, step];
-        const pair = replay(grown, bounds);
+      for (const step of replay(path, bounds).enabledSteps()) {
+        const extended = [...path, step];
+        const model = replay(extended, bounds);
         steps += 1;
-        const key = pair.key();
+        const key = model.key();
         if (seen.has(key)) continue;
         seen.add(key);
-        next.push(grown);
+        next.push(extended);
       }
     }
     frontier = next;
@@ -76,13 +76,13 @@
   return { states: seen.size, steps };
 }
 
-function replay(path: readonly Step[], bounds: SearchBounds): Pair {
-  const pair = new Pair(bounds);
+function replay(path: readonly Step[], bounds: SearchBounds): LendingModel {
+  const model = new LendingModel(bounds);
   for (const step of path) {
-    pair.apply(step);
-    pair.check();
+    model.apply(step);
+    model.check();
   }
-  return pair;
+  return model;
 }
 
 class DriftingClock implements Clock {
@@ -106,7 +106,7 @@
   }
 }
 
-class Party {
+class ModelInstance {
   readonly clock: DriftingClock;
   readonly budgets: RateBudgets;
   readonly exchange: BudgetExchange;
@@ -120,8 +120,8 @@
       holdMs: () => 0,
     });
     shares.adopt(DOCUMENT, 1, 0);
-    shares.hear("lender", 1);
-    shares.hear("borrower", 1);
+    shares.recordSettledGeneration("lender", 1);
+    shares.recordSettledGeneration("borrower", 1);
     shares.run(0);
     this.budgets = new RateBudgets({
       self,
@@ -139,9 +139,9 @@
   }
 }
 
-class Pair {
-  readonly #lender = new Party("lender", 1 + MAX_DRIFT);
-  readonly #borrower = new Party("borrower", 1 - MAX_DRIFT);
+class LendingModel {
+  readonly #lender = new ModelInstance("lender", 1 + MAX_DRIFT);
+  readonly #borrower = new ModelInstance("borrower", 1 - MAX_DRIFT);
   readonly #bounds: SearchBounds;
   #messages: Message[] = [];
 
@@ -149,7 +149,7 @@
     this.#bounds = bounds;
   }
 
-  enabled(): Step[] {
+  enabledSteps(): Step[] {
     const actions = ["rate", "tokens", "wait", "return"] as const;
     const steps: Step[] = actions.map((action) => ({ action, message: 0 }));
     this.#messages.forEach(({ repeated }, message) => {
@@ -170,7 +170,7 @@
         this.#borrower.clock.ms += STEP_MS;
         return;
       case "return":
-        return this.#giveBack();
+        return this.#returnLoans();
       case "deliver":
         return this.#deliver(this.#messages.splice(message, 1)[0]!);
       case "repeat":
@@ -179,19 +179,22 @@
     }
   }
 
-  /** Asserts that rate, room and tokens of both stay within the whole. */
+  /** Asserts that rate, burst and tokens of both stay within the total. */
   check(): void {
     const both = [this.#lender, this.#borrower].map(({ budgets, clock }) =>
       budgets.spendable(ACCOUNT, clock.now())
     );
     const sum = (of: (s: typeof both[number]) => number) =>
       both.reduce((n, s) => n + of(s), 0);
-    invariant(sum((s) => s.fraction) <= 1 + ROUNDING, "rate passes the whole");
-    invariant(sum((s) => s.room) <= 1 + ROUNDING, "room passes the whole");
-    invariant(sum((s) => s.tokens) <= BURST + ROUNDING, "too many tokens");
+    invariant(sum((s) => s.fraction) <= 1 + ROUNDING, "rate exceeds the total");
+    invariant(sum((s) => s.room) <= 1 + ROUNDING, "burst exceeds the total");
+    invariant(
+      sum((s) => s.tokens) <= BURST + ROUNDING,
+      "tokens exceed the burst",
+    );
   }
 
-  /** Names the state, so that one reached twice is searched once. */
+  /** A key of the state, so that a state reached twice is searched once. */
   key(): string {
     const sides = [this.#lender, this.#borrower].map(({ row, clock }) => {
       const { book } = row.share;
@@ -200,8 +203,8 @@
         now,
         book.lentLoans(now),
         book.borrowedLoans(now),
-        book.endedLoans(now),
-        book.toldTo("lender", now),
+        book.expiredLoans(now),
+        book.loansToReport("lender", now),
         row.share.tokens(now).toFixed(6),
       ];
     });
@@ -218,11 +221,11 @@
     this.#send("lender", exchange.call("lender", ask).part);
   }
 
-  #giveBack(): void {
+  #returnLoans(): void {
     const { row, clock } = this.#borrower;
     const now = clock.now();
     for (const loan of row.share.book.borrowedLoans(now)) {
-      row.share.giveBack(loan, loan.amount, now);
+      row.share.returnBorrowed(loan, loan.amount, now);
     }
   }
 
