--- a/src/fleet/address.ts
+++ b/src/fleet/address.ts
@@ -1,10 +1,9 @@
 /**
- * Host and port as one text.
+ * Parsing of `host:port` addresses.
  *
  * @module
  */
 
-/** A place to connect to. */
 export interface HostPort {
   readonly host: string;
   readonly port: number;
--- a/src/fleet/bundles.ts
+++ b/src/fleet/bundles.ts
@@ -1,23 +1,23 @@
 /**
- * Several datagrams in one, as a relay sends other zones' digests to the one
- * that stands by to replace it.
+ * Batches several datagrams into one. A zone's relay forwards the digests of
+ * other zones to its standby in this way.
  *
  * @module
  */
 import { Buffer } from "node:buffer";
-import type { Datagrams, DatagramSort } from "./datagrams.ts";
+import type { Datagrams, DatagramType } from "./datagrams.ts";
 
-/** Sort and length before each part, in bytes. */
-const HEAD_BYTES = 5;
-/** A bundle holds no more than this, in bytes; the rest goes in another. */
-const MOST_BYTES = 32_768;
-const SORTS: readonly DatagramSort[] = [
+/** Header of a part: type (1 byte) and length (4 bytes). */
+const HEADER_BYTES = 5;
+/** Parts that would exceed this size go into a further bundle. */
+const MAX_BUNDLE_BYTES = 32_768;
+const PART_TYPES: readonly DatagramType[] = [
   "digest",
   "zonePassedOn",
   "compactDigest",
 ];
 
-/** Parts of one period, the latest of each sender. */
+/** Collects the latest datagram of each sender until the next send. */
 export class Bundle {
   readonly #datagrams: Datagrams;
   readonly #parts = new Map<string, Buffer>();
@@ -26,48 +26,48 @@
     this.#datagrams = datagrams;
   }
 
-  /** Keeps what a sender told last. */
-  gather(from: string, sort: DatagramSort, bytes: Uint8Array): void {
-    this.#parts.set(from, framed(sort, bytes));
+  /** Adds a datagram in place of the sender's previous one. */
+  gather(sender: string, type: DatagramType, bytes: Uint8Array): void {
+    this.#parts.set(sender, encodePart(type, bytes));
   }
 
-  /** Sends what was gathered since the last time. */
+  /** Sends the collected datagrams and starts over. */
   send(to: readonly string[]): void {
-    let frames: Buffer[] = [];
+    let parts: Buffer[] = [];
     let size = 0;
-    for (const frame of this.#parts.values()) {
-      if (size > 0 && size + frame.length > MOST_BYTES) {
-        this.#datagrams.send("bundle", to, Buffer.concat(frames));
-        [frames, size] = [[], 0];
+    for (const part of this.#parts.values()) {
+      if (size > 0 && size + part.length > MAX_BUNDLE_BYTES) {
+        this.#datagrams.send("bundle", to, Buffer.concat(parts));
+        [parts, size] = [[], 0];
       }
-      frames.push(frame);
-      size += frame.length;
+      parts.push(part);
+      size += part.length;
     }
-    if (size > 0) this.#datagrams.send("bundle", to, Buffer.concat(frames));
+    if (size > 0) this.#datagrams.send("bundle", to, Buffer.concat(parts));
     this.#parts.clear();
   }
 }
 
-/** Takes each part as if it had come by itself; stops where one is cut. */
+/** Dispatches each part as a datagram; stops at a truncated or unknown one. */
 export function readBundles(datagrams: Datagrams): void {
   datagrams.on("bundle", (bytes) => {
     const buffer = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.length);
-    let at = 0;
-    while (at + HEAD_BYTES <= buffer.length) {
-      const sort = SORTS[buffer.readUInt8(at)];
-      const length = buffer.readUInt32BE(at + 1);
-      at += HEAD_BYTES;
-      if (sort === undefined || at + length > buffer.length) return;
-      datagrams.take(sort, buffer.subarray(at, at + length));
-      at += length;
+    let offset = 0;
+    while (offset + HEADER_BYTES <= buffer.length) {
+      const type = PART_TYPES[buffer.readUInt8(offset)];
+      const length = buffer.readUInt32BE(offset + 1);
+      offset += HEADER_BYTES;
+      if (type === undefined || offset + length > buffer.length) return;
+      datagrams.dispatch(type, buffer.subarray(offset, offset + length));
+      offset += length;
     }
   });
 }
 
-/** The bytes are copied: the socket's buffer is used again. */
-function framed(sort: DatagramSort, bytes: Uint8Array): Buffer {
-  const head = Buffer.alloc(HEAD_BYTES);
-  head.writeUInt8(SORTS.indexOf(sort), 0);
-  head.writeUInt32BE(bytes.length, 1);
-  return Buffer.concat([head, bytes]);
+/** Copies the bytes, since the socket reuses its buffer. */
+function encodePart(type: DatagramType, bytes: Uint8Array): Buffer {
+  const header = Buffer.alloc(HEADER_BYTES);
+  header.writeUInt8(PART_TYPES.indexOf(type), 0);
+  header.writeUInt32BE(bytes.length, 1);
+  return Buffer.concat([header, bytes]);
 }
--- a/src/fleet/change_relay.ts
+++ b/src/fleet/change_relay.ts
@@ -1,5 +1,5 @@
 /**
- * Changes in the store as they are passed on within a zone.
+ * Encoding of changes in the store that instances forward to each other.
  *
  * @module
  */
@@ -10,10 +10,10 @@
 import { isName, isRecord } from "./digest_rows.ts";
 
 /**
- * Changes of more than this are not sent but announced, in bytes: a datagram is
- * lost whole with any of its packets.
+ * Larger batches are announced without their content: the loss of any IP
+ * fragment loses the whole datagram.
  */
-const MOST_BYTES = 8_192;
+const MAX_CHANGES_BYTES = 8_192;
 
 interface ChangesJson {
   readonly k: string;
@@ -23,19 +23,19 @@
   readonly c?: readonly [unknown, boolean][];
 }
 
-/** Writes changes as a datagram. */
+/** Encodes changes as JSON. */
 export function encodeChanges(batch: RelayedChanges): Buffer {
   const { kind: k, after: a, upTo: u, holdMs: h, changes } = batch;
   const c = changes?.map(({ raw, deleted }) => [raw, deleted] as const);
   const bytes = Buffer.from(JSON.stringify({ k, a, u, h, c }));
-  if (bytes.length <= MOST_BYTES) return bytes;
+  if (bytes.length <= MAX_CHANGES_BYTES) return bytes;
   return Buffer.from(JSON.stringify({ k, a, u, h }));
 }
 
 /**
- * Reads a datagram.
+ * Decodes changes.
  *
- * Errors: `bad_request` where it holds no changes.
+ * Errors: `bad_request` if the datagram holds no valid changes.
  */
 export function decodeChanges(
   bytes: Uint8Array,
@@ -46,12 +46,12 @@
   } catch {
     return fail("bad_request", "the datagram is not JSON");
   }
-  if (!isRecord(json) || !isName(json.k)) return noChanges();
+  if (!isRecord(json) || !isName(json.k)) return invalidChanges();
   const { k: kind, a: after, u: upTo, h: holdMs, c } = json;
   if (![after, upTo, holdMs].every((n) => Number.isFinite(n) && n >= 0)) {
-    return noChanges();
+    return invalidChanges();
   }
-  if (c !== undefined && !Array.isArray(c)) return noChanges();
+  if (c !== undefined && !Array.isArray(c)) return invalidChanges();
   const changes = c?.map(([raw, deleted]): RelayedChange => ({
     raw,
     deleted: deleted === true,
@@ -59,6 +59,6 @@
   return ok({ kind, after, upTo, holdMs, changes });
 }
 
-function noChanges(): Result<never, Failure> {
-  return fail("bad_request", "the datagram holds no changes");
+function invalidChanges(): Result<never, Failure> {
+  return fail("bad_request", "the datagram holds no valid changes");
 }
--- a/src/fleet/compact_digest.ts
+++ b/src/fleet/compact_digest.ts
@@ -1,16 +1,16 @@
 /**
- * Digests as they go out: a quarter of the bytes of the JSON that earlier builds
- * write.
+ * Compact binary encoding of digests: a quarter of the bytes of the JSON that
+ * earlier builds send.
  *
- * The load it answers: each instance tells each other four times a second, and
- * links between regions are paid by the byte. Names are given as hashes, and
- * who the sender is and of whom it heard goes along with some digests only. The
- * rest of a digest needs no earlier one, so one that is lost, late or repeated
- * does no harm; one from a sender that is not known yet is passed over until
- * the next that says who it is.
+ * Load: each instance sends a digest to every other four times a second, and
+ * traffic between regions is billed by the byte. Names are encoded as hashes,
+ * and only some digests carry the profiles of the sender and of other
+ * instances. The rest is self-contained, so a lost, late or duplicate digest
+ * does no harm. A digest of an unknown sender is ignored until one carries its
+ * profile.
  *
- * Written in the wire format of protocol buffers, without descriptors: what a
- * restarted instance has to load delays its first answer.
+ * Uses the protocol buffers wire format without descriptors, because loading
+ * them would delay the first response of a restarted instance.
  *
  * @module
  */
@@ -24,19 +24,19 @@
 import type { Digest } from "./digest.ts";
 import type { InstanceProfile } from "./instance_profile.ts";
 import type { NameBook } from "./name_book.ts";
-import { ReportDraft, writeReport } from "./report_rows.ts";
-import { statusBits, statusOf } from "./status_bits.ts";
+import { ReportDecoder, writeReport } from "./report_rows.ts";
+import { decodeStatus, encodeStatus } from "./status_bits.ts";
 import {
   readMessage,
   readProfileField,
-  readWhole,
+  readSafeInteger,
   writeProfile,
 } from "./wire_rows.ts";
 
-/** Longer datagrams are dropped unread, in bytes. */
+/** Longer datagrams are rejected without decoding. */
 const MAX_BYTES = 16_384;
 
-/** Field numbers of the message; they do not change between builds. */
+/** Field numbers of the message; they must stay the same across builds. */
 const FIELD = {
   senderHash: 1,
   profile: 2,
@@ -52,15 +52,15 @@
   limits: 12,
 } as const;
 
-/** What a reader knows of names. */
-export interface DigestNames {
+/** Resolves the hashes in a digest. */
+export interface HashResolver {
   readonly book: NameBook;
-  /** The profile of an instance, by the hash of its id. */
+  /** Profile of an instance by the hash of its id. */
   readonly profileOf: (idHash: number) => InstanceProfile | undefined;
 }
 
 /**
- * Writes a digest as a datagram.
+ * Encodes a digest.
  *
  * @example
  * ```ts
@@ -72,7 +72,7 @@
   digest: Digest,
   opts: {
     readonly book: NameBook;
-    /** Whether it says who its sender is, and of whom it heard. */
+    /** Whether to include the profiles of the sender and of `digest.others`. */
     readonly introduces: boolean;
   },
 ): Uint8Array {
@@ -80,60 +80,60 @@
   const { book, introduces } = opts;
   const out = new BinaryWriter();
   out.tag(FIELD.senderHash, WireType.Bit32).fixed32(hash(profile.id));
-  out.tag(FIELD.flags, WireType.Varint).uint32(statusBits(digest));
+  out.tag(FIELD.flags, WireType.Varint).uint32(encodeStatus(digest));
   out.tag(FIELD.planVersion, WireType.Varint).uint64(digest.planVersion);
   out.tag(FIELD.capacity, WireType.Bit64).double(digest.capacity);
-  writeReport(out, digest, { fields: FIELD, book });
+  writeReport(out, digest, { fields: FIELD, dictionary: book });
   if (introduces) {
     writeProfile(out, FIELD.profile, profile);
-    for (const other of digest.others) writeProfile(out, FIELD.other, other);
+    for (const p of digest.others) writeProfile(out, FIELD.other, p);
   }
   return out.finish();
 }
 
 /**
- * Reads a datagram; gives undefined where its sender is not known and it does
- * not say who that is.
+ * Decodes a digest. Returns undefined if the sender is unknown and the digest
+ * does not carry its profile.
  *
- * Errors: `bad_request` where it is not a digest.
+ * Errors: `bad_request` if the datagram is not a valid digest.
  */
 export function decodeCompact(
   bytes: Uint8Array,
-  names: DigestNames,
+  resolver: HashResolver,
 ): Result<Digest | undefined, Failure> {
-  const draft = new Draft(names);
+  const decoder = new DigestDecoder(resolver);
   return readMessage(
     bytes,
     MAX_BYTES,
-    (field, reader) => draft.read(field, reader),
-  ).andThen(() => draft.finish());
+    (field, reader) => decoder.read(field, reader),
+  ).andThen(() => decoder.finish());
 }
 
-/** A digest as far as it is read. */
-class Draft {
-  readonly #names: DigestNames;
+/** Collects the fields of a digest. */
+class DigestDecoder {
+  readonly #resolver: HashResolver;
   #senderHash: number | undefined;
   #profile: Result<InstanceProfile, Failure> | undefined;
   #flags: number | undefined;
   #planVersion = 0;
   #capacity = 0;
-  readonly #report: ReportDraft;
+  readonly #report: ReportDecoder;
   readonly #others: InstanceProfile[] = [];
 
-  constructor(names: DigestNames) {
-    this.#names = names;
-    this.#report = new ReportDraft(FIELD, names.book);
+  constructor(resolver: HashResolver) {
+    this.#resolver = resolver;
+    this.#report = new ReportDecoder(FIELD, resolver.book);
   }
 
   finish(): Result<Digest | undefined, Failure> {
     const status = this.#flags === undefined
       ? undefined
-      : statusOf(this.#flags);
+      : decodeStatus(this.#flags);
     if (status === undefined || !this.#report.isIdentified) {
-      return fail("bad_request", "the datagram is no digest");
+      return fail("bad_request", "the digest is invalid");
     }
     if (this.#profile?.isErr()) return err(this.#profile.error);
-    const profile = this.#profile?.unwrapOr(undefined) ?? this.#known();
+    const profile = this.#profile?.unwrapOr(undefined) ?? this.#knownSender();
     if (profile === undefined) return ok(undefined);
     return ok({
       ...status,
@@ -150,12 +150,12 @@
     });
   }
 
-  #known(): InstanceProfile | undefined {
+  #knownSender(): InstanceProfile | undefined {
     if (this.#senderHash === undefined) return undefined;
-    return this.#names.profileOf(this.#senderHash);
+    return this.#resolver.profileOf(this.#senderHash);
   }
 
-  /** Reads a field; gives false where it is not known. */
+  /** Reads a field; returns false if the field number is unknown. */
   read(field: number, reader: BinaryReader): boolean {
     switch (field) {
       case FIELD.senderHash:
@@ -168,7 +168,7 @@
         this.#flags = reader.uint32();
         return true;
       case FIELD.planVersion:
-        this.#planVersion = readWhole(reader);
+        this.#planVersion = readSafeInteger(reader);
         return true;
       case FIELD.capacity:
         this.#capacity = reader.double();
--- a/src/fleet/compact_digest_test.ts
+++ b/src/fleet/compact_digest_test.ts
@@ -41,33 +41,38 @@
   return digestOf("i1", { ...own, ...opts });
 }
 
-/** A reader that knows the sender and these names. */
-function reader(...names: string[]) {
+/** Receiver state with the sender's profile and these names. */
+function receiver(...names: string[]) {
   const book = new NameBook();
   for (const name of names) book.learn(name);
   const profileOf = (key: number) => key === hash("i1") ? KNOWN : undefined;
   return { book, profileOf };
 }
 
-/** A digest that does not introduce its sender. */
-function write(sent: Digest, { book }: { book: NameBook }): Uint8Array {
+/** Encodes a digest without profiles. */
+function encodeWithoutProfiles(
+  sent: Digest,
+  { book }: {
+    book: NameBook;
+  },
+): Uint8Array {
   return encodeCompact(sent, { book, introduces: false });
 }
 
-const STRANGER = { book: new NameBook(), profileOf: () => undefined };
+const NEW_RECEIVER = { book: new NameBook(), profileOf: () => undefined };
 
-test("a digest is read as it was written", (t) => {
+test("a digest decodes to what was encoded", (t) => {
   const sent = digest({
     uses: new Map([["a1" as AccountId, { perS: 2.5, admitted: 9, level: -3 }]]),
     inFlight: new Map([["e1" as EndpointId, 4]]),
     changes: new Map([["plans", 12]]),
   });
-  const names = reader("a1", "e1", "plans");
-  const read = decodeCompact(write(sent, names), names);
+  const names = receiver("a1", "e1", "plans");
+  const read = decodeCompact(encodeWithoutProfiles(sent, names), names);
   t.deepEqual(read._unsafeUnwrap(), sent);
 });
 
-test("any numbers are read as they were written", (t) => {
+test("any counts, rates and names survive encoding and decoding", (t) => {
   const id = fc.string({ minLength: 1, maxLength: 40 });
   const amount = fc.integer({ min: 0, max: 1e9 });
   fc.assert(
@@ -75,8 +80,8 @@
       fc.dictionary(id, amount),
       fc.dictionary(id, amount),
       fc.integer({ min: -1e9, max: 1e9 }),
-      (flights, admitted, level) => {
-        const inFlight = new Map(Object.entries(flights));
+      (counts, admitted, level) => {
+        const inFlight = new Map(Object.entries(counts));
         const uses = new Map(
           Object.entries(admitted).map(([account, n]) => [
             account,
@@ -84,10 +89,11 @@
           ]),
         );
         const sent = digest({ uses, inFlight } as unknown as Partial<Digest>);
-        const names = reader(...inFlight.keys(), ...uses.keys());
-        const read = decodeCompact(write(sent, names), names)._unsafeUnwrap();
-        // Endpoints with as many requests are written together.
-        t.deepEqual(Object.fromEntries(read?.inFlight ?? []), flights);
+        const names = receiver(...inFlight.keys(), ...uses.keys());
+        const read = decodeCompact(encodeWithoutProfiles(sent, names), names)
+          ._unsafeUnwrap();
+        // Endpoints are grouped by count, so their order may change.
+        t.deepEqual(Object.fromEntries(read?.inFlight ?? []), counts);
         t.deepEqual(read?.uses, sent.uses);
       },
     ),
@@ -95,64 +101,70 @@
   );
 });
 
-test("names that share a hash are written out and not taken for each other", (t) => {
-  // Two accounts' names have one hash. Were it sent for both, what one used
-  // would count against the other, whose callers would be refused.
-  const [a, b] = clashing();
+test("names whose hashes collide are sent in full and never confused", (t) => {
+  // Guards against usage of one name being counted for another with the same
+  // hash, whose requests would then be rejected.
+  const [a, b] = collidingNames();
   const sent = digest({
     inFlight: new Map([[a, 1], [b, 2]]) as Map<EndpointId, number>,
   });
-  const both = reader(a, b);
-  const read = decodeCompact(write(sent, both), both);
+  const both = receiver(a, b);
+  const read = decodeCompact(encodeWithoutProfiles(sent, both), both);
   t.deepEqual(read._unsafeUnwrap()?.inFlight, sent.inFlight);
-  // A sender that knows but one of them gives its hash, which says nothing to
-  // a reader that knows both.
+  // A sender that has only one of them sends the hash, which is ambiguous to a
+  // receiver that has both.
   const one = digest({ inFlight: new Map([[a as EndpointId, 1]]) });
-  const vague = decodeCompact(write(one, reader(a)), both);
-  t.is(vague._unsafeUnwrap()?.inFlight.size, 0);
+  const ambiguous = decodeCompact(
+    encodeWithoutProfiles(one, receiver(a)),
+    both,
+  );
+  t.is(ambiguous._unsafeUnwrap()?.inFlight.size, 0);
 });
 
-test("names that a reader does not know are passed over", (t) => {
-  // An endpoint that was just registered is known to the sender first.
+test("rows with names that the receiver does not know are ignored", (t) => {
+  // A newly registered endpoint can reach the sender before the receiver.
   const sent = digest({
     inFlight: new Map([["new", 1], ["old", 2]]) as Map<EndpointId, number>,
   });
-  const names = reader("old");
-  const read = decodeCompact(write(sent, reader("old")), names);
+  const names = receiver("old");
+  const read = decodeCompact(
+    encodeWithoutProfiles(sent, receiver("old")),
+    names,
+  );
   t.deepEqual([...read._unsafeUnwrap()?.inFlight ?? []], [["old", 2]]);
 });
 
-test("a sender that is not known is passed over until it says who it is", (t) => {
-  // An instance starts and hears digests before it has read the list. It must
-  // not make up a sender, and knows the true one a second later.
-  const names = reader();
+test("digests of an unknown sender are ignored until one carries its profile", (t) => {
+  // A starting instance receives digests before it has read the instance list.
+  // It must not invent a sender; the profile arrives within seconds.
+  const names = receiver();
   const sent = digest({ others: [profile("i2")] });
   const plain = encodeCompact(sent, { ...names, introduces: false });
-  t.is(decodeCompact(plain, STRANGER)._unsafeUnwrap(), undefined);
+  t.is(decodeCompact(plain, NEW_RECEIVER)._unsafeUnwrap(), undefined);
   const whole = encodeCompact(sent, { ...names, introduces: true });
-  t.deepEqual(decodeCompact(whole, STRANGER)._unsafeUnwrap(), sent);
+  t.deepEqual(decodeCompact(whole, NEW_RECEIVER)._unsafeUnwrap(), sent);
 });
 
-test("bytes that are no digest change nothing and end nothing", (t) => {
-  // Anything can reach an open port.
-  const whole = encodeCompact(digest(), { ...STRANGER, introduces: true });
+test("truncated or random datagrams do not throw, and oversized ones are rejected", (t) => {
+  // An open port can receive arbitrary datagrams.
+  const whole = encodeCompact(digest(), { ...NEW_RECEIVER, introduces: true });
   for (let length = 0; length < whole.length; length++) {
-    const read = decodeCompact(whole.subarray(0, length), STRANGER);
+    const read = decodeCompact(whole.subarray(0, length), NEW_RECEIVER);
     t.true(read.isErr() || read.value === undefined || length > 30);
   }
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 200 }), (bytes) => {
-      decodeCompact(bytes, STRANGER);
+      decodeCompact(bytes, NEW_RECEIVER);
     }),
     { seed: 1 },
   );
-  t.true(decodeCompact(Buffer.alloc(20_000), STRANGER).isErr());
+  t.true(decodeCompact(Buffer.alloc(20_000), NEW_RECEIVER).isErr());
 });
 
-test("a busy instance's digest takes a quarter of its JSON", (t) => {
-  // Eight accounts, thirty endpoints at work: what a dozen instances tell each
-  // other four times a second, and what links between regions are paid for.
-  const names = reader();
+test("a busy instance's digest is at most a quarter of its JSON encoding", (t) => {
+  // Eight accounts and thirty busy endpoints. A dozen instances send such
+  // digests to each other four times a second, over links billed by the byte.
+  const names = receiver();
   const uses = new Map<
     AccountId,
     { perS: number; admitted: number; level: number }
@@ -174,9 +186,10 @@
   ]]);
   for (const kind of changes.keys()) names.book.learn(kind);
   const sent = digest({ uses, inFlight, changes, others: [profile("i2")] });
-  // One digest in eight introduces its sender.
+  // One digest in eight carries profiles.
   const introduced = encodeCompact(sent, { ...names, introduces: true });
-  const compact = (7 * write(sent, names).length + introduced.length) / 8;
+  const compact =
+    (7 * encodeWithoutProfiles(sent, names).length + introduced.length) / 8;
   const json = encodeDigest({
     ...sent,
     start: "8f14e45fceea167a",
@@ -185,8 +198,8 @@
   t.true(compact <= json / 4, `${compact} of ${json} bytes`);
 });
 
-/** Two names with one hash. */
-function clashing(): [string, string] {
+/** Two names with the same hash. */
+function collidingNames(): [string, string] {
   const seen = new Map<number, string>();
   for (let i = 0;; i++) {
     const name = `account-${i}`;
--- a/src/fleet/datagrams.ts
+++ b/src/fleet/datagrams.ts
@@ -1,5 +1,5 @@
 /**
- * Datagrams of several sorts over one socket, told apart by their first byte.
+ * Multiplexes datagrams of several types over one socket by their first byte.
  *
  * @module
  */
@@ -7,95 +7,93 @@
 import type { Result } from "neverthrow";
 import type { Failure, Log } from "../core/mod.ts";
 
-/** Carries datagrams. */
 export interface DatagramTransport {
-  /** Sends without waiting; a datagram may be lost. */
+  /** Sends without waiting; datagrams may be lost. */
   send(address: string, bytes: Buffer): void;
-  onDatagram(take: (bytes: Uint8Array) => void): void;
+  onDatagram(handler: (bytes: Uint8Array) => void): void;
   close(): Promise<void>;
 }
 
-/** What a datagram holds, and its first byte. */
-const SORTS = {
-  /** What an instance of the previous build tells of itself. */
+/** First byte of a datagram by its type. */
+const DATAGRAM_TYPES = {
+  /** Digest of an instance in the JSON format of the previous build. */
   digest: 1,
-  /** What a zone's relay tells another zone's relay. */
+  /** Digest of a zone, from its relay to the relay of another zone. */
   zone: 8,
-  /** The same, passed on within that zone. */
+  /** Digest of a zone, forwarded within the receiving zone. */
   zonePassedOn: 9,
-  /** Changes in the store, passed on within a zone. */
+  /** Changes in the store, forwarded by an instance that watches it. */
   changes: 4,
-  /** Several datagrams in one, from a relay. */
+  /** Several datagrams in one, from a relay to its standby. */
   bundle: 5,
-  /** What an instance tells of itself. */
+  /** Digest of an instance. */
   compactDigest: 6,
-  /** What a zone's relay tells the zone of the whole fleet. */
+  /** Aggregate of the fleet, from a zone's relay to the zone. */
   aggregate: 7,
 } as const;
 
-/** The longest datagram over IPv4, in bytes. */
-const MOST_BYTES = 65_507;
+/** Maximum payload of UDP over IPv4. */
+const MAX_BYTES = 65_507;
 
-/** A sort of datagram. */
-export type DatagramSort = keyof typeof SORTS;
+export type DatagramType = keyof typeof DATAGRAM_TYPES;
 
-/** Sends and hands out datagrams by sort. */
+/** Sends datagrams and dispatches received ones by type. */
 export class Datagrams {
   readonly #transport: DatagramTransport;
   readonly #log: Log;
   #tooLongLogged = false;
-  readonly #takers = new Map<number, (bytes: Uint8Array) => void>();
+  readonly #handlers = new Map<number, (bytes: Uint8Array) => void>();
 
   constructor(transport: DatagramTransport, log: Log) {
     this.#transport = transport;
     this.#log = log;
     transport.onDatagram((bytes) => {
       const [sort = 0] = bytes;
-      this.#takers.get(sort)?.(bytes.subarray(1));
+      this.#handlers.get(sort)?.(bytes.subarray(1));
     });
   }
 
-  /** Sends the same to several addresses. */
+  /** Sends the same datagram to several addresses. */
   send(
-    sort: DatagramSort,
+    type: DatagramType,
     addresses: Iterable<string>,
     bytes: Uint8Array,
   ): void {
-    const framed = Buffer.concat([Buffer.of(SORTS[sort]), bytes]);
-    if (framed.length > MOST_BYTES) return this.#tooLong(sort, framed.length);
+    const framed = Buffer.concat([Buffer.of(DATAGRAM_TYPES[type]), bytes]);
+    if (framed.length > MAX_BYTES) return this.#logTooLong(type, framed.length);
     for (const address of addresses) this.#transport.send(address, framed);
   }
 
-  /** Says who takes in a sort of datagram. */
-  on(sort: DatagramSort, take: (bytes: Uint8Array) => void): void {
-    this.#takers.set(SORTS[sort], take);
+  /** Sets the handler of a type of datagram. */
+  on(type: DatagramType, handler: (bytes: Uint8Array) => void): void {
+    this.#handlers.set(DATAGRAM_TYPES[type], handler);
   }
 
   /**
-   * Says how a sort of datagram is read, and who takes it in. The first that
-   * cannot be read is logged; anything can reach an open port.
+   * Sets the decoder and the handler of a type of datagram. Only the first
+   * decoding failure is logged, since an open port can receive anything.
    */
   onRead<T>(
-    sort: DatagramSort,
+    type: DatagramType,
     decode: (bytes: Uint8Array) => Result<T, Failure>,
-    take: (value: T, bytes: Uint8Array) => void,
+    handler: (value: T, bytes: Uint8Array) => void,
   ): void {
     let rejected = false;
-    this.on(sort, (bytes) => {
+    this.on(type, (bytes) => {
       const read = decode(bytes);
-      if (read.isOk()) return take(read.value, bytes);
+      if (read.isOk()) return handler(read.value, bytes);
       if (rejected) return;
       rejected = true;
       this.#log.event("digest_rejected", { reason: read.error.message });
     });
   }
 
-  /** Hands over what came inside another datagram. */
-  take(sort: DatagramSort, bytes: Uint8Array): void {
-    this.#takers.get(SORTS[sort])?.(bytes);
+  /** Dispatches a datagram that was received inside another. */
+  dispatch(type: DatagramType, bytes: Uint8Array): void {
+    this.#handlers.get(DATAGRAM_TYPES[type])?.(bytes);
   }
 
-  #tooLong(sort: DatagramSort, bytes: number): void {
+  #logTooLong(sort: DatagramType, bytes: number): void {
     if (this.#tooLongLogged) return;
     this.#tooLongLogged = true;
     this.#log.event("datagram_too_long", { sort, bytes });
--- a/src/fleet/digest.ts
+++ b/src/fleet/digest.ts
@@ -1,9 +1,10 @@
 /**
- * What an instance tells the others of itself, several times a second.
+ * State that an instance gossips about itself several times a second, and the
+ * JSON encoding that the previous build sends and reads.
  *
- * A digest is whole: it needs no earlier one, so a lost, late or repeated one
- * does no harm. It is written as JSON, which Node.js reads faster than any
- * decoder in JavaScript, and checked on arrival.
+ * A digest is self-contained, so a lost, late or duplicate one does no harm.
+ * Node.js parses JSON faster than any decoder in JavaScript. Fields are
+ * validated on arrival.
  *
  * @module
  */
@@ -15,9 +16,9 @@
   isName,
   isRecord,
   isState,
-  numbers,
   type ProfileRow,
   profileRow,
+  readNumbers,
   readProfile,
   readUses,
   type UseRow,
@@ -26,38 +27,39 @@
 import type { InstanceProfile, InstanceState } from "./instance_profile.ts";
 import type { AgedLimits } from "./limit_rows.ts";
 
-/** One digest. */
+/** State of one instance. */
 export interface Digest {
   readonly profile: InstanceProfile;
   readonly state: InstanceState;
-  /** Differs with each start of the instance. */
+  /** Random id of this run of the instance; new after each restart. */
   readonly start: string;
-  /** Counts up with each digest of a start. */
+  /** Sequence number within the run. */
   readonly seq: number;
-  /** Version of the plan in force there; 0 before the first. */
+  /** Version of the plan in force at the instance; 0 before the first. */
   readonly planVersion: number;
-  /** Whether it asks the store itself, and the store answers. */
+  /** Whether the instance watches the store and the store responds. */
   readonly storeInTouch: boolean;
-  /** Whether it asks the store itself. */
+  /** Whether the instance watches the store. */
   readonly isStoreWatcher: boolean;
-  /** Whether it relays what its zone and the other zones report. */
+  /** Whether the instance is its zone's relay. */
   readonly relays: boolean;
-  /** How much it can carry, compared with the others. */
+  /** Capacity relative to the other instances. */
   readonly capacity: number;
-  /** Revision of the last change it knows of, by kind of object. */
+  /** Revision of the last change received, by kind of object. */
   readonly changes: ReadonlyMap<string, number>;
-  /** What was asked of and admitted for accounts. */
+  /** Request rate and admissions of accounts and of rate-limited endpoints. */
   readonly uses: ReadonlyMap<RatedId, RateUse>;
-  /** Requests out at endpoints; none where there is no entry. */
+  /** Requests in flight by endpoint; idle endpoints have no entry. */
   readonly inFlight: ReadonlyMap<EndpointId, number>;
-  /** Limits that endpoints named, or ceased to name, in answers to it. */
+  /** Rate limits that endpoints stated, or stopped stating, in responses. */
   readonly limits: AgedLimits;
-  /** Some other instances, for those who could not read the list. */
+  /** Some other instances, for recipients that cannot read the instance list. */
   readonly others: readonly InstanceProfile[];
 }
 
-/** Larger datagrams than this are dropped unread, in bytes. */
+/** Longer datagrams are rejected without parsing. */
 const MAX_DIGEST_BYTES = 16_384;
+
 interface DigestJson {
   readonly p: ProfileRow;
   readonly s: InstanceState;
@@ -74,7 +76,7 @@
 }
 
 /**
- * Writes a digest as a datagram.
+ * Encodes a digest as JSON.
  *
  * @example
  * ```ts
@@ -100,13 +102,13 @@
 }
 
 /**
- * Reads a datagram.
+ * Decodes a JSON digest.
  *
- * Errors: `bad_request` where it is not a digest.
+ * Errors: `bad_request` if the datagram is not a valid digest.
  */
 export function decodeDigest(bytes: Uint8Array): Result<Digest, Failure> {
   if (bytes.length > MAX_DIGEST_BYTES) {
-    return fail("bad_request", "the datagram is too long");
+    return fail("bad_request", "the datagram exceeds the size limit");
   }
   let json: DigestJson;
   try {
@@ -114,7 +116,7 @@
   } catch {
     return fail("bad_request", "the datagram is not JSON");
   }
-  if (!isDigest(json)) return fail("bad_request", "the datagram is no digest");
+  if (!isDigest(json)) return fail("bad_request", "the digest is invalid");
   const profile = readProfile(json.p);
   if (profile.isErr()) return err(profile.error);
   return ok({
@@ -125,12 +127,12 @@
     planVersion: json.v,
     storeInTouch: json.t === true,
     isStoreWatcher: json.a === true,
-    // Builds that write JSON know of no relays and no limits.
+    // Builds that send JSON have neither relays nor endpoint limits.
     relays: false,
     capacity: typeof json.c === "number" && json.c > 0 ? json.c : 0,
-    changes: isRecord(json.k) ? numbers<string>(json.k) : new Map(),
+    changes: isRecord(json.k) ? readNumbers<string>(json.k) : new Map(),
     uses: readUses(json.d),
-    inFlight: numbers<EndpointId>(json.f),
+    inFlight: readNumbers<EndpointId>(json.f),
     limits: new Map(),
     others: json.o.flatMap((row) => {
       const other = readProfile(row);
--- a/src/fleet/digest_rows.ts
+++ b/src/fleet/digest_rows.ts
@@ -1,5 +1,5 @@
 /**
- * Parts of digests as they are written: short rows, checked on arrival.
+ * Rows of JSON digests, as short arrays, and their validation.
  *
  * @module
  */
@@ -18,13 +18,13 @@
   type InstanceState,
 } from "./instance_profile.ts";
 
-/** Names longer than this are no names of ours, in characters. */
-const MAX_NAME = 128;
+/** Longer names are rejected, in characters. */
+const MAX_NAME_LENGTH = 128;
 
-/** Profile as a list, to keep digests small. */
+/** Profile as an array, to keep digests small. */
 export type ProfileRow = [string, string, string, string, string];
 
-/** Requests a second, requests admitted, tokens. */
+/** Requests per second, requests admitted, tokens. */
 export type UseRow = [number, number, number];
 
 export function isState(value: unknown): value is InstanceState {
@@ -37,7 +37,7 @@
 
 export function isName(value: unknown): value is string {
   return typeof value === "string" && value.length > 0 &&
-    value.length <= MAX_NAME;
+    value.length <= MAX_NAME_LENGTH;
 }
 
 export function profileRow(profile: InstanceProfile): ProfileRow {
@@ -47,7 +47,7 @@
 
 export function readProfile(row: unknown): Result<InstanceProfile, Failure> {
   if (!Array.isArray(row) || row.length !== 5 || !row.every(isName)) {
-    return fail("bad_request", "the datagram names no instance");
+    return fail("bad_request", "the datagram has an invalid instance profile");
   }
   const [id, zone, region, callerAddress, digestAddress] = row as ProfileRow;
   return ok({
@@ -64,7 +64,7 @@
 ): Record<string, UseRow> {
   const rows: Record<string, UseRow> = {};
   for (const [account, { perS, admitted, level }] of uses) {
-    rows[account] = [round(perS), admitted, round(level)];
+    rows[account] = [roundToHundredth(perS), admitted, roundToHundredth(level)];
   }
   return rows;
 }
@@ -82,11 +82,11 @@
   return uses;
 }
 
-export function round(value: number): number {
+export function roundToHundredth(value: number): number {
   return Math.round(value * 100) / 100;
 }
 
-export function numbers<Id extends string>(
+export function readNumbers<Id extends string>(
   record: Record<string, unknown>,
 ): Map<Id, number> {
   const entries = Object.entries(record).filter(([, n]) =>
--- a/src/fleet/fleet_aggregate.ts
+++ b/src/fleet/fleet_aggregate.ts
@@ -1,11 +1,12 @@
 /**
- * What a zone's relay tells the zone's instances of the whole fleet: sums, who
- * lives, and what changed.
+ * Summary of the fleet that a zone's relay sends to the zone's instances: sums,
+ * live instances and the latest changes.
  *
- * Load: passed on one by one, the digests of a zone of 22 and of 8 other zones
- * cost each instance 120 messages a second to read, and grow with the square of
- * the zone. An aggregate has a row for each account and endpoint in use and a
- * few bytes for each instance of the zone, however large the fleet is.
+ * Load: forwarded one by one, the digests of a zone of 22 and of 8 other zones
+ * would cost each instance 120 messages a second to read, and the zone's total
+ * would grow with the square of its size. An aggregate has a row per account and
+ * endpoint in use and a few bytes per instance of the zone, however large the
+ * fleet is.
  *
  * @module
  */
@@ -19,54 +20,54 @@
 import type { InstanceProfile } from "./instance_profile.ts";
 import type { NameBook } from "./name_book.ts";
 import {
-  ReportDraft,
-  type SumsReport,
-  writeSumsReport,
+  ReportDecoder,
+  type SummedReport,
+  writeSummedReport,
 } from "./report_rows.ts";
 import {
-  FREE_BIT,
+  decodeStatus,
+  encodeStatus,
+  FIRST_FREE_BIT,
   type InstanceStatus,
-  statusBits,
-  statusOf,
 } from "./status_bits.ts";
 import {
   readMessage,
   readProfileField,
   readRows,
-  readWhole,
+  readSafeInteger,
   writeProfile,
 } from "./wire_rows.ts";
 
-/** An instance of the zone as the relay knows it. */
+/** Status of an instance of the zone as its relay knows it. */
 export interface AggregateMember extends InstanceStatus {
   readonly idHash: number;
-  /** Hash of the instance's start. */
+  /** Hash of the id of the instance's run. */
   readonly startHash: number;
-  /** The instance's last digest that the sums contain. */
+  /** Sequence number of the instance's last digest in the sums. */
   readonly seq: number;
-  /** Whether it knows all changes that the aggregate names. */
+  /** Whether the instance has received all changes listed in the aggregate. */
   readonly upToDate: boolean;
   readonly capacity: number;
 }
 
-/** One aggregate: its changes are the highest that any instance knows of. */
-export interface FleetAggregate extends SumsReport {
+/** Summary of the fleet; `changes` are the latest that any instance received. */
+export interface FleetAggregate extends SummedReport {
   readonly relay: InstanceProfile;
-  /** Instances of the zone that the relay hears, itself included. */
+  /** Instances of the zone that report to the relay, and the relay itself. */
   readonly members: readonly AggregateMember[];
   /**
-   * Hashes of other zones' instances that take callers; undefined where the
-   * last ones hold on.
+   * Hashes of the serving instances in other zones; undefined if the previous
+   * list remains valid.
    */
   readonly farServing: readonly number[] | undefined;
-  /** Some instances, for those that do not know them yet. */
+  /** Some profiles, for instances that do not have them yet. */
   readonly profiles: readonly InstanceProfile[];
 }
 
-/** Longer datagrams are dropped unread, in bytes. */
+/** Longer datagrams are rejected without decoding. */
 const MAX_BYTES = 60_000;
 
-/** Field numbers of the message; they do not change between builds. */
+/** Field numbers of the message; they must stay the same across builds. */
 const FIELD = {
   relay: 1,
   start: 2,
@@ -84,24 +85,24 @@
   limits: 14,
 } as const;
 
-const UP_TO_DATE = FREE_BIT;
+const UP_TO_DATE = FIRST_FREE_BIT;
 
 /**
- * Writes an aggregate as a datagram.
+ * Encodes an aggregate.
  *
  * @example
  * ```ts
- * datagrams.send("aggregate", addresses, encodeAggregate(aggregate, book));
+ * datagrams.send("aggregate", addresses, encodeAggregate(aggregate, dictionary));
  * ```
  */
 export function encodeAggregate(
   aggregate: FleetAggregate,
-  book: NameBook,
+  dictionary: NameBook,
 ): Uint8Array {
   const { members, farServing } = aggregate;
   const out = new BinaryWriter();
   writeProfile(out, FIELD.relay, aggregate.relay);
-  writeSumsReport(out, aggregate, { fields: FIELD, book });
+  writeSummedReport(out, aggregate, { fields: FIELD, dictionary });
   out.tag(FIELD.members, WireType.LengthDelimited).fork();
   for (const member of members) writeMember(out, member);
   out.join();
@@ -117,37 +118,37 @@
 }
 
 /**
- * Reads a datagram.
+ * Decodes an aggregate.
  *
- * Errors: `bad_request` where it is no aggregate.
+ * Errors: `bad_request` if the datagram is not a valid aggregate.
  */
 export function decodeAggregate(
   bytes: Uint8Array,
-  book: NameBook,
+  dictionary: NameBook,
 ): Result<FleetAggregate, Failure> {
-  const draft = new Draft(book);
+  const decoder = new AggregateDecoder(dictionary);
   return readMessage(
     bytes,
     MAX_BYTES,
-    (field, reader) => draft.read(field, reader),
-  ).andThen(() => draft.finish());
+    (field, reader) => decoder.read(field, reader),
+  ).andThen(() => decoder.finish());
 }
 
-/** An aggregate as far as it is read. */
-class Draft {
-  readonly #report: ReportDraft;
+/** Collects the fields of an aggregate. */
+class AggregateDecoder {
+  readonly #report: ReportDecoder;
   #relay: Result<InstanceProfile, Failure> | undefined;
   readonly #members: AggregateMember[] = [];
   #farServing: number[] | undefined;
   readonly #profiles: InstanceProfile[] = [];
 
-  constructor(book: NameBook) {
-    this.#report = new ReportDraft(FIELD, book);
+  constructor(dictionary: NameBook) {
+    this.#report = new ReportDecoder(FIELD, dictionary);
   }
 
   finish(): Result<FleetAggregate, Failure> {
     if (this.#relay === undefined || !this.#report.isIdentified) {
-      return fail("bad_request", "the datagram is no aggregate");
+      return fail("bad_request", "the aggregate is invalid");
     }
     if (this.#relay.isErr()) return err(this.#relay.error);
     const { start, seq, instances, storeInTouch, reserved } = this.#report;
@@ -169,7 +170,7 @@
     });
   }
 
-  /** Reads a field; gives false where it is not known. */
+  /** Reads a field; returns false if the field number is unknown. */
   read(field: number, reader: BinaryReader): boolean {
     switch (field) {
       case FIELD.relay:
@@ -196,19 +197,19 @@
 }
 
 function writeMember(out: BinaryWriter, member: AggregateMember): void {
-  const bits = statusBits(member) | (member.upToDate ? UP_TO_DATE : 0);
+  const bits = encodeStatus(member) | (member.upToDate ? UP_TO_DATE : 0);
   out.fixed32(member.idHash).fixed32(member.startHash).uint64(member.seq);
-  // In full: peers rank each other by it and must all find the same order.
+  // Not rounded: instances rank each other by capacity and must agree.
   out.uint32(bits).double(member.capacity);
 }
 
 function readMember(rows: BinaryReader): AggregateMember {
   const idHash = rows.fixed32();
   const startHash = rows.fixed32();
-  const seq = readWhole(rows);
+  const seq = readSafeInteger(rows);
   const bits = rows.uint32();
-  const status = statusOf(bits);
-  if (status === undefined) throw new RangeError("no such state");
+  const status = decodeStatus(bits);
+  if (status === undefined) throw new RangeError("unknown instance state");
   return {
     ...status,
     idHash,
--- a/src/fleet/fleet_aggregate_test.ts
+++ b/src/fleet/fleet_aggregate_test.ts
@@ -12,10 +12,10 @@
 } from "./mod.ts";
 import { profile } from "./testing/digest_fixtures.ts";
 
-function bookOf(...names: string[]): NameBook {
-  const book = new NameBook();
-  for (const name of names) book.learn(name);
-  return book;
+function dictionaryOf(...names: string[]): NameBook {
+  const dictionary = new NameBook();
+  for (const name of names) dictionary.learn(name);
+  return dictionary;
 }
 
 const SUMS = {
@@ -72,42 +72,45 @@
   };
 }
 
-const BOOK = bookOf("plans", "a1", "e1", "e2");
-/** A reader that knows no instance. */
-const NAMES = { book: BOOK, profileOf: () => undefined };
+const DICTIONARY = dictionaryOf("plans", "a1", "e1", "e2");
+/** Receiver state without instance profiles. */
+const RECEIVER = { book: DICTIONARY, profileOf: () => undefined };
 
-test("an aggregate is read as it was written", (t) => {
+test("an aggregate decodes to what was encoded", (t) => {
   for (const farServing of [undefined, [], [hash("i3")]]) {
     const sent = aggregate({ farServing });
-    const read = decodeAggregate(encodeAggregate(sent, BOOK), BOOK);
+    const read = decodeAggregate(encodeAggregate(sent, DICTIONARY), DICTIONARY);
     t.deepEqual(read._unsafeUnwrap(), sent);
   }
 });
 
-test("a zone's digest is read as it was written", (t) => {
+test("a zone's digest decodes to what was encoded", (t) => {
   const sent = zoneDigest();
-  const bytes = encodeZoneDigest(sent, { book: BOOK, introduces: true });
-  t.deepEqual(decodeZoneDigest(bytes, NAMES)._unsafeUnwrap(), sent);
+  const bytes = encodeZoneDigest(sent, { book: DICTIONARY, introduces: true });
+  t.deepEqual(decodeZoneDigest(bytes, RECEIVER)._unsafeUnwrap(), sent);
 });
 
-// Guards against members without an address, and lists without those known.
-test("members that were not introduced are found by their hash", (t) => {
+// Guards against members without an address and against losing known ones.
+test("members sent without profiles are resolved by their hash", (t) => {
   const sent = zoneDigest();
-  const bytes = encodeZoneDigest(sent, { book: BOOK, introduces: false });
+  const bytes = encodeZoneDigest(sent, { book: DICTIONARY, introduces: false });
   const first = profile("i1");
   const profileOf = (key: number) => key === hash("i1") ? first : undefined;
-  const read = decodeZoneDigest(bytes, { book: BOOK, profileOf });
+  const read = decodeZoneDigest(bytes, { book: DICTIONARY, profileOf });
   const [known] = sent.members;
   t.deepEqual(read._unsafeUnwrap().members, known === undefined ? [] : [known]);
 });
 
-// Guards against a second spending of what was rounded away on the way.
-test("what is set aside does not shrink on the way", (t) => {
+// Guards against rounding that lets part of a reserved share be spent twice.
+test("a reserved share does not shrink in transit", (t) => {
   fc.assert(
     fc.property(fc.double({ min: 0, max: 1, noNaN: true }), (share) => {
       const shares = new Map([["a1" as AccountId, share]]);
       const sent = aggregate({ reserved: { shares, instances: 1 } });
-      const read = decodeAggregate(encodeAggregate(sent, BOOK), BOOK)
+      const read = decodeAggregate(
+        encodeAggregate(sent, DICTIONARY),
+        DICTIONARY,
+      )
         ._unsafeUnwrap();
       return (read.reserved.shares.get("a1" as AccountId) ?? -1) >= share;
     }),
@@ -116,29 +119,29 @@
   t.pass();
 });
 
-// Guards against rows of accounts that one instance does not know yet.
-test("names that a reader does not know are passed over", (t) => {
-  const bytes = encodeAggregate(aggregate(), BOOK);
+// Guards against failing on accounts that the receiver does not have yet.
+test("rows with names that the receiver does not know are ignored", (t) => {
+  const bytes = encodeAggregate(aggregate(), DICTIONARY);
   const read = decodeAggregate(bytes, new NameBook())._unsafeUnwrap();
   t.is(read.uses.size, 0);
   t.is(read.inFlight.size, 0);
   t.is(read.members.length, 1);
 });
 
-// Guards against anything that reaches an open port.
-test("bytes that are cut or random are refused and end nothing", (t) => {
-  const whole = encodeAggregate(aggregate(), BOOK);
+// Guards against arbitrary datagrams, which an open port can receive.
+test("truncated or random datagrams do not throw, and empty ones are rejected", (t) => {
+  const whole = encodeAggregate(aggregate(), DICTIONARY);
   for (let length = 0; length < whole.length; length++) {
-    decodeAggregate(whole.subarray(0, length), BOOK);
-    decodeZoneDigest(whole.subarray(0, length), NAMES);
+    decodeAggregate(whole.subarray(0, length), DICTIONARY);
+    decodeZoneDigest(whole.subarray(0, length), RECEIVER);
   }
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 200 }), (bytes) => {
-      decodeAggregate(bytes, BOOK);
-      decodeZoneDigest(bytes, NAMES);
+      decodeAggregate(bytes, DICTIONARY);
+      decodeZoneDigest(bytes, RECEIVER);
     }),
     { seed: 4, numRuns: 500 },
   );
-  t.true(decodeAggregate(new Uint8Array(), BOOK).isErr());
-  t.true(decodeZoneDigest(new Uint8Array(), NAMES).isErr());
+  t.true(decodeAggregate(new Uint8Array(), DICTIONARY).isErr());
+  t.true(decodeZoneDigest(new Uint8Array(), RECEIVER).isErr());
 });
--- a/src/fleet/fleet_limits_test.ts
+++ b/src/fleet/fleet_limits_test.ts
@@ -16,7 +16,7 @@
 const STEP_MS = 10;
 const RATE_PER_S = 5.2;
 
-/** A fleet of which every member sends to one endpoint with a limit. */
+/** A fleet in which every member sends to one rate-limited endpoint. */
 class LimitedFleet {
   readonly members: TestMember[];
   readonly #fleet: MemberFleet;
@@ -38,7 +38,7 @@
     return limited;
   }
 
-  /** Lets requests come at `times` the limit; gives how many were sent. */
+  /** Offers requests at `times` the limit; returns how many were sent. */
   run(forMs: number, times: number): number {
     const before = this.#sent.count;
     const { clock, members } = this.#fleet;
@@ -56,15 +56,15 @@
     return this.#sent.count - before;
   }
 
-  countAnew(): void {
+  resetCount(): void {
     this.#sent = new AdmissionTimes();
   }
 
-  get worst(): number {
+  get mostInWindow(): number {
     return this.#sent.mostWithin(LIMIT_WINDOW_MS);
   }
 
-  /** Cuts the zones' relays off from all others. */
+  /** Partitions the relays of all zones from the rest of the fleet. */
   cutRelays(): void {
     for (const member of this.members) member.cut = member.roles.isRelay;
   }
@@ -83,10 +83,10 @@
     sends.begin(E1, this.#fleet.clock.now());
     this.#sends.set(member, sends);
     member.takes = {
-      reported: (news, now) => {
-        const from = { ...news, instance: news.group };
-        demand.reported(from, news.uses);
-        sends.reported(from, news.uses, now);
+      reported: (report, now) => {
+        const from = { ...report, instance: report.group };
+        demand.reported(from, report.uses);
+        sends.reported(from, report.uses, now);
       },
       suspect: (group) => {
         demand.shares.unreachable(group);
@@ -106,26 +106,26 @@
 }
 
 for (const perZone of [4, 9]) {
-  // Guards against sums of relays that hide sends, or count them twice.
-  test(`${3 * perZone} instances keep to a limit, and use it, as digests report`, async (t) => {
+  // Guards against sums of relays that miss sends or count them twice.
+  test(`${3 * perZone} instances keep within an endpoint's limit and use at least 60% of it`, async (t) => {
     const fleet = await LimitedFleet.start(perZone);
     fleet.run(3_000, 3);
-    fleet.countAnew();
+    fleet.resetCount();
     const sent = fleet.run(15_000, 3);
-    t.true(fleet.worst <= allowed(RATE_PER_S), `${fleet.worst}`);
+    t.true(fleet.mostInWindow <= allowed(RATE_PER_S), `${fleet.mostInWindow}`);
     t.true(sent >= RATE_PER_S * 15 * 0.6, `${sent}`);
   });
 }
 
-// Guards against a limit that is spent anew when relays are replaced.
-test("a limit holds while relays are cut off and come back", async (t) => {
+// Guards against spending a limit again when relays are replaced.
+test("an endpoint's limit holds while relays are partitioned and reconnect", async (t) => {
   const fleet = await LimitedFleet.start(9);
   fleet.run(3_000, 3);
-  fleet.countAnew();
+  fleet.resetCount();
   fleet.run(4_000, 3);
   fleet.cutRelays();
   fleet.run(6_000, 3);
   fleet.heal();
   fleet.run(6_000, 3);
-  t.true(fleet.worst <= allowed(RATE_PER_S), `${fleet.worst}`);
+  t.true(fleet.mostInWindow <= allowed(RATE_PER_S), `${fleet.mostInWindow}`);
 });
--- a/src/fleet/fleet_rates_test.ts
+++ b/src/fleet/fleet_rates_test.ts
@@ -4,12 +4,12 @@
 import { RatedFleet } from "./testing/rated_fleet.ts";
 
 const ZONES = ["a1", "b1", "c1"];
-/** Enough in all to be summed by relays. */
+/** Large enough for the fleet to gossip through relays. */
 const PER_ZONE = 9;
 const RUNS = 12;
 
-// Guards against refusing an account that is within its rate.
-test("told by relays, an account within its rate passes", async (t) => {
+// Guards against rejecting requests of an account that is within its rate.
+test("with relays, requests of an account within its rate are admitted", async (t) => {
   const fleet = await RatedFleet.start(ZONES, PER_ZONE, { ratePerS: 388 });
   fleet.run(6_000, 0.6);
   const before = fleet.asked;
@@ -18,7 +18,7 @@
 });
 
 // Guards against admitting the same rate at several instances.
-test("told by relays, an account beyond its rate gets its rate and little more", async (t) => {
+test("with relays, an account beyond its rate gets its rate and little more", async (t) => {
   const fleet = await RatedFleet.start(ZONES, PER_ZONE, { ratePerS: 388 });
   fleet.run(6_000, 0.6);
   const passed = fleet.run(8_000, 4.7);
@@ -26,8 +26,8 @@
   t.true(passed >= 8 * 388 * 0.9, `${passed} of ${8 * 388}`);
 });
 
-// Guards against relays that lose count of requests when they are replaced.
-test("an account keeps to its rate when relays die", async (t) => {
+// Guards against losing admission counts when relays are replaced.
+test("an account keeps within its rate while relays are partitioned and reconnect", async (t) => {
   const fleet = await RatedFleet.start(ZONES, PER_ZONE, { ratePerS: 388 });
   fleet.run(6_000, 4);
   for (const relay of fleet.relays()) fleet.cut([relay]);
@@ -38,11 +38,11 @@
   t.true(most <= bound(fleet.account), `${most} of ${bound(fleet.account)}`);
 });
 
-// Guards against a second spending of what cut off instances hold.
-test("shares of instances that a relay does not hear are set aside by its zone", async (t) => {
+// Guards against admitting the shares of partitioned instances twice.
+test("shares of instances partitioned from their relay stay reserved", async (t) => {
   const fleet = await RatedFleet.start(ZONES, PER_ZONE, { ratePerS: 388 });
   fleet.run(6_000, 2);
-  // The busiest instance, with a third of the demand, is no relay.
+  // The busiest instance, with a third of the demand, is not a relay.
   fleet.cut(fleet.some(3, 1));
   for (let i = 0; i < 8; i++) {
     fleet.run(500, 2);
@@ -50,8 +50,8 @@
   }
 });
 
-// Guards against counts of a new relay that look like requests admitted.
-test("an account within its rate is served on when relays die", async (t) => {
+// Guards against taking the counters of a new relay for new admissions.
+test("an account within its rate is still admitted after relays are killed", async (t) => {
   const fleet = await RatedFleet.start(ZONES, PER_ZONE, { ratePerS: 388 });
   fleet.run(6_000, 0.6);
   fleet.kill(fleet.relays());
@@ -62,7 +62,7 @@
   t.true(passed >= asked * 0.95, `${passed} of ${asked}`);
 });
 
-const HAPPENINGS = fc.oneof(
+const FLEET_EVENTS = fc.oneof(
   fc.record({
     kind: fc.constant("demand" as const),
     times: fc.double({ min: 0, max: 6, noNaN: true }),
@@ -80,24 +80,24 @@
   }),
 );
 
-// Guards against passing an account's limit whatever happens to the fleet.
-test("a third cut off, back or new, and relays among them: no window passes the limit", async (t) => {
+// Guards against exceeding an account's rate during partitions and restarts.
+test("no window exceeds the limit while up to a third of the instances at a time, relays included, is partitioned, reconnected or restarted", async (t) => {
   for (const ratePerS of [388, 60]) {
     await fc.assert(
       fc.asyncProperty(
-        fc.array(HAPPENINGS, { minLength: 1, maxLength: 5 }),
-        async (happenings) => {
+        fc.array(FLEET_EVENTS, { minLength: 1, maxLength: 5 }),
+        async (events) => {
           const fleet = await RatedFleet.start(ZONES, PER_ZONE, { ratePerS });
           let times = 0.6;
           fleet.run(6_000, times);
-          for (const happening of happenings) {
-            if (happening.kind === "demand") times = happening.times;
-            if (happening.kind === "heal") fleet.heal();
-            if (happening.kind === "cut") {
-              fleet.cut(fleet.some(happening.first, happening.count));
+          for (const event of events) {
+            if (event.kind === "demand") times = event.times;
+            if (event.kind === "heal") fleet.heal();
+            if (event.kind === "cut") {
+              fleet.cut(fleet.some(event.first, event.count));
             }
-            if (happening.kind === "restart") {
-              await fleet.restart(fleet.some(happening.first, happening.count));
+            if (event.kind === "restart") {
+              await fleet.restart(fleet.some(event.first, event.count));
             }
             fleet.run(1_500, times);
           }
--- a/src/fleet/instance_profile.ts
+++ b/src/fleet/instance_profile.ts
@@ -1,23 +1,23 @@
 /**
- * Who an instance is, and whether it takes callers.
+ * Identity, location and addresses of an instance, and its lifecycle state.
  *
  * @module
  */
 import type { InstanceId, RegionId, ZoneId } from "../core/mod.ts";
 
-/** States in the order in which digests number them. */
+/** Digests encode a state as its index: the order must not change. */
 export const INSTANCE_STATES = ["starting", "serving", "leaving"] as const;
 
-/** Whether an instance takes callers. */
+/** Callers are sent only to instances that are `serving`. */
 export type InstanceState = (typeof INSTANCE_STATES)[number];
 
-/** Where an instance stands and can be reached. */
+/** Identity, location and addresses. */
 export interface InstanceProfile {
   readonly id: InstanceId;
   readonly zone: ZoneId;
   readonly region: RegionId;
-  /** Host and port for callers. */
+  /** `host:port` for callers. */
   readonly callerAddress: string;
-  /** Host and port for digests. */
+  /** `host:port` for gossip. */
   readonly digestAddress: string;
 }
--- a/src/fleet/limit_rows.ts
+++ b/src/fleet/limit_rows.ts
@@ -1,6 +1,6 @@
 /**
- * Limits of endpoints as digests carry them: with their age, since instances'
- * clocks do not agree.
+ * Rate limits of endpoints as digests carry them: with their age instead of a
+ * timestamp, since the clocks of instances differ.
  *
  * @module
  */
@@ -8,43 +8,48 @@
 import type { EndpointId } from "../core/mod.ts";
 import type { ObservedLimit } from "../decisions/endpoint_limits/mod.ts";
 import type { NameBook } from "./name_book.ts";
-import { readName, readWhole, writeName, writeRows } from "./wire_rows.ts";
+import {
+  readName,
+  readSafeInteger,
+  writeName,
+  writeRows,
+} from "./wire_rows.ts";
 
-/** A limit as an answer named it some time ago. */
+/** A limit and how long ago an endpoint stated it. */
 export interface AgedLimit {
-  /** Requests a second; undefined where the answer named no limit. */
+  /** Requests per second; undefined if the response stated no limit. */
   readonly ratePerS: number | undefined;
   readonly ageMs: number;
 }
 
-/** Limits by endpoint, on the clock of one instance. */
+/** Limits by endpoint, with timestamps of this instance's clock. */
 export type ObservedLimits = ReadonlyMap<EndpointId, ObservedLimit>;
-/** Limits by endpoint, as reported. */
+/** Limits by endpoint, with ages, as sent in digests. */
 export type AgedLimits = ReadonlyMap<EndpointId, AgedLimit>;
 
-/** Stands for an answer that named no limit. */
-const LIFTED = -1;
+/** Encodes a response that stated no limit. */
+const NO_LIMIT = -1;
 
-/** Limits as they are reported at this moment. */
+/** Converts timestamps to ages, for sending. */
 export function agedLimits(limits: ObservedLimits, now: number): AgedLimits {
-  return mapped(limits, ({ ratePerS, at }) => ({
+  return mapValues(limits, ({ ratePerS, at }) => ({
     ratePerS,
     ageMs: Math.max(0, Math.round(now - at)),
   }));
 }
 
-/** Reported limits on the clock of this instance. */
+/** Converts received ages to timestamps of this instance's clock. */
 export function observedLimits(
   limits: AgedLimits,
   now: number,
 ): ObservedLimits {
-  return mapped(limits, ({ ratePerS, ageMs }) => ({
+  return mapValues(limits, ({ ratePerS, ageMs }) => ({
     ratePerS,
     at: now - ageMs,
   }));
 }
 
-/** The newest observation of each endpoint. */
+/** Merges limits; the newest observation of each endpoint wins. */
 export function newestLimits(all: Iterable<ObservedLimits>): ObservedLimits {
   const newest = new Map<EndpointId, ObservedLimit>();
   for (const limits of all) {
@@ -56,39 +61,41 @@
   return newest;
 }
 
-/** Writes limits as one field. */
 export function writeLimits(
   out: BinaryWriter,
   limits: AgedLimits,
-  { field, book }: { readonly field: number; readonly book: NameBook },
+  { field, dictionary }: {
+    readonly field: number;
+    readonly dictionary: NameBook;
+  },
 ): void {
   writeRows(out, field, limits, (endpoint, { ratePerS, ageMs }) => {
-    writeName(out, endpoint, book);
-    out.double(ratePerS ?? LIFTED).uint64(ageMs);
+    writeName(out, endpoint, dictionary);
+    out.double(ratePerS ?? NO_LIMIT).uint64(ageMs);
   });
 }
 
-/** Reads one row; undefined where the endpoint is not known or it is no rate. */
+/** Reads one row; undefined if the endpoint is unknown or the rate invalid. */
 export function readLimit(
   rows: BinaryReader,
-  book: NameBook,
+  dictionary: NameBook,
 ): [EndpointId, AgedLimit] | undefined {
-  const endpoint = readName(rows, book);
+  const endpoint = readName(rows, dictionary);
   const rate = rows.double();
-  const ageMs = readWhole(rows);
-  const isRate = rate === LIFTED || (Number.isFinite(rate) && rate >= 0);
+  const ageMs = readSafeInteger(rows);
+  const isRate = rate === NO_LIMIT || (Number.isFinite(rate) && rate >= 0);
   if (endpoint === undefined || !isRate) return undefined;
-  const ratePerS = rate === LIFTED ? undefined : rate;
+  const ratePerS = rate === NO_LIMIT ? undefined : rate;
   return [endpoint as EndpointId, { ratePerS, ageMs }];
 }
 
-/** Most of the time no endpoint has a limit, and digests are many. */
-const NO_LIMITS: ReadonlyMap<EndpointId, never> = new Map<EndpointId, never>();
+/** Shared, since digests are frequent and mostly have no limits. */
+const EMPTY: ReadonlyMap<EndpointId, never> = new Map<EndpointId, never>();
 
-function mapped<A, B>(
+function mapValues<A, B>(
   limits: ReadonlyMap<EndpointId, A>,
-  to: (limit: A) => B,
+  transform: (limit: A) => B,
 ): ReadonlyMap<EndpointId, B> {
-  if (limits.size === 0) return NO_LIMITS;
-  return new Map([...limits].map(([id, limit]) => [id, to(limit)]));
+  if (limits.size === 0) return EMPTY;
+  return new Map([...limits].map(([id, limit]) => [id, transform(limit)]));
 }
--- a/src/fleet/name_book.ts
+++ b/src/fleet/name_book.ts
@@ -1,36 +1,34 @@
 /**
- * Names that digests give as hashes.
+ * Dictionary that resolves the hashed names in digests.
  *
- * The names of endpoints, client accounts and instances are most of a digest
- * that writes them out, and every instance knows them already: from the plan,
- * the registry and the list of instances. So a digest holds four bytes for each,
- * and whoever reads it looks the name up among those it knows. A name that is
- * not known yet is one that the reader has no use for yet.
+ * Names of endpoints and client accounts would make up most of a digest, and
+ * every instance has them already from the plan and the registry. A digest
+ * therefore carries a hash of four bytes per name. A receiver ignores rows with
+ * a hash that it cannot resolve: it does not use that name yet.
  *
  * @module
  */
 import { hash } from "../core/mod.ts";
 
-/** Names beyond this many push out the oldest: endpoints come and go. */
-const MOST_NAMES = 32_768;
+/** The oldest name is evicted beyond this size, since endpoints come and go. */
+const MAX_NAMES = 32_768;
 
-/** Names known to one instance. */
+/** Names by hash. */
 export class NameBook {
-  /** Undefined where two names share a hash: it stands for neither. */
+  /** Undefined if several names have the hash, which then resolves to none. */
   readonly #names = new Map<number, string | undefined>();
 
-  /** Notes a name. */
   learn(name: string): void {
     const key = hash(name);
     const known = this.#names.get(key);
     if (known === name) return;
-    const clashes = this.#names.has(key);
-    this.#names.set(key, clashes ? undefined : name);
-    if (this.#names.size > MOST_NAMES) this.#dropOldest();
+    const collides = this.#names.has(key);
+    this.#names.set(key, collides ? undefined : name);
+    if (this.#names.size > MAX_NAMES) this.#evictOldest();
   }
 
   /**
-   * The name with a hash; undefined if it is not known for certain.
+   * Resolves a hash; undefined if it is unknown or ambiguous.
    *
    * @example
    * ```ts
@@ -42,13 +40,13 @@
     return this.#names.get(key);
   }
 
-  /** Whether a name's hash stands for it alone, as far as known. */
-  isClear(name: string): boolean {
+  /** Whether no other known name has the hash of this one. */
+  isUnambiguous(name: string): boolean {
     const key = hash(name);
     return !this.#names.has(key) || this.#names.get(key) === name;
   }
 
-  #dropOldest(): void {
+  #evictOldest(): void {
     const oldest = this.#names.keys().next().value;
     if (oldest !== undefined) this.#names.delete(oldest);
   }
--- a/src/fleet/report_rows.ts
+++ b/src/fleet/report_rows.ts
@@ -1,6 +1,7 @@
 /**
- * What every digest reports: whose it is, changes known, uses of accounts and
- * requests in flight; sums of several instances also what is set aside.
+ * Encoding of the fields that all digests share: run and sequence number,
+ * changes received, usage, requests in flight and limits. Reports that sum
+ * several instances also carry the reserved shares of rates.
  *
  * @module
  */
@@ -22,7 +23,7 @@
 import {
   readName,
   readRows,
-  readWhole,
+  readSafeInteger,
   writeName,
   writeRows,
 } from "./wire_rows.ts";
@@ -32,7 +33,7 @@
 /** Shares are rounded to a ten-thousandth. */
 const SHARE_UNITS = 10_000;
 
-/** Field numbers of a report in a message; the last ones are those of sums. */
+/** Field numbers in a message; the optional ones are those of sums. */
 export interface ReportFields {
   readonly start: number;
   readonly seq: number;
@@ -46,84 +47,81 @@
   readonly reserved?: number;
 }
 
-/** What every digest reports. */
+/** The fields that all digests share. */
 export interface Report {
-  /** Differs with each start of the sender. */
+  /** Random id of this run of the sender; new after each restart. */
   readonly start: string;
-  /** Counts up with each message of a start. */
+  /** Sequence number within the run. */
   readonly seq: number;
-  /** Revision of the last change that is known, by kind. */
+  /** Revision of the last change received, by kind of object. */
   readonly changes: ReadonlyMap<string, number>;
   readonly uses: ReadonlyMap<RatedId, RateUse>;
   /** Requests in flight by endpoint. */
   readonly inFlight: ReadonlyMap<EndpointId, number>;
-  /** Limits that endpoints named, or ceased to name, lately. */
+  /** Rate limits that endpoints recently stated or stopped stating. */
   readonly limits: AgedLimits;
 }
 
-/** A report that sums several instances. */
-export interface SumsReport extends Report {
-  /** Instances whose uses are in the sums. */
+/** A report summed over several instances. */
+export interface SummedReport extends Report {
+  /** Number of instances in the sums. */
   readonly instances: number;
-  /** Whether an instance that watches the store is answered. */
+  /** Whether the store responds to any of the instances that watch it. */
   readonly storeInTouch: boolean;
-  /** What is set aside for instances that are not heard. */
+  /** Shares of rates reserved for instances that do not report. */
   readonly reserved: Reserved;
 }
 
-/** How a report is written. */
 export interface WriteReportOptions {
   readonly fields: ReportFields;
-  readonly book: NameBook;
+  readonly dictionary: NameBook;
 }
 
-/** Writes the report of one instance. */
 export function writeReport(
   out: BinaryWriter,
   { start, seq, changes, uses, inFlight, limits }: Report,
-  { fields, book }: WriteReportOptions,
+  { fields, dictionary }: WriteReportOptions,
 ): void {
   out.tag(fields.start, WireType.LengthDelimited).string(start);
   out.tag(fields.seq, WireType.Varint).uint64(seq);
   writeRows(out, fields.changes, changes, (kind, revision) => {
-    writeName(out, kind, book);
+    writeName(out, kind, dictionary);
     out.uint64(revision);
   });
   writeRows(out, fields.uses, uses, (account, use) => {
-    writeName(out, account, book);
+    writeName(out, account, dictionary);
     out.uint64(tenths(use.perS)).uint64(use.admitted);
     out.sint64(tenths(use.level));
   });
-  writeRows(out, fields.inFlight, byCount(inFlight), (n, endpoints) => {
+  writeRows(out, fields.inFlight, groupByCount(inFlight), (n, endpoints) => {
     out.uint64(n).uint32(endpoints.length);
-    for (const endpoint of endpoints) writeName(out, endpoint, book);
+    for (const endpoint of endpoints) writeName(out, endpoint, dictionary);
   });
-  writeLimits(out, limits, { field: fields.limits, book });
+  writeLimits(out, limits, { field: fields.limits, dictionary });
 }
 
-/** Writes a report that sums several instances. */
-export function writeSumsReport(
+export function writeSummedReport(
   out: BinaryWriter,
-  report: SumsReport,
-  { fields, book }: {
+  report: SummedReport,
+  { fields, dictionary }: {
     readonly fields: Required<ReportFields>;
-    readonly book: NameBook;
+    readonly dictionary: NameBook;
   },
 ): void {
   const { instances, storeInTouch, reserved } = report;
-  writeReport(out, report, { fields, book });
+  writeReport(out, report, { fields, dictionary });
   out.tag(fields.instances, WireType.Varint).uint32(instances);
   out.tag(fields.storeInTouch, WireType.Varint).bool(storeInTouch);
   out.tag(fields.reservedInstances, WireType.Varint).uint32(reserved.instances);
   writeRows(out, fields.reserved, reserved.shares, (account, share) => {
-    writeName(out, account, book);
-    // Rounded up: what is set aside must not shrink on the way.
+    writeName(out, account, dictionary);
+    // Rounded up: a reservation that shrinks would be spent twice.
     out.uint32(Math.ceil(share * SHARE_UNITS));
   });
 }
 
-/** A report as far as it is read; rows with names that are not known are left out. */
-export class ReportDraft implements SumsReport {
+/** Collects the fields of a report; ignores rows with unknown names. */
+export class ReportDecoder implements SummedReport {
   start = "";
   seq = -1;
   instances = 0;
@@ -135,30 +133,30 @@
   readonly #shares = new Map<RatedId, number>();
   #reservedInstances = 0;
   readonly #fields: ReportFields;
-  readonly #book: NameBook;
+  readonly #dictionary: NameBook;
 
-  constructor(fields: ReportFields, book: NameBook) {
+  constructor(fields: ReportFields, dictionary: NameBook) {
     this.#fields = fields;
-    this.#book = book;
+    this.#dictionary = dictionary;
   }
 
   get reserved(): Reserved {
     return { shares: this.#shares, instances: this.#reservedInstances };
   }
 
-  /** Whether it says which message of which start it is. */
+  /** Whether the run and the sequence number were read. */
   get isIdentified(): boolean {
     return isName(this.start) && this.seq >= 0;
   }
 
-  /** Reads a field; gives false where it is none of a report. */
+  /** Reads a field; returns false if it does not belong to a report. */
   read(field: number, reader: BinaryReader): boolean {
     switch (field) {
       case this.#fields.start:
         this.start = reader.string();
         return true;
       case this.#fields.seq:
-        this.seq = readWhole(reader);
+        this.seq = readSafeInteger(reader);
         return true;
       case this.#fields.instances:
         this.instances = reader.uint32();
@@ -175,67 +173,67 @@
   }
 
   #readRows(field: number, reader: BinaryReader): boolean {
-    const row = this.#rowOf(field);
-    if (row === undefined) return false;
-    readRows(reader, row);
+    const readRow = this.#rowReader(field);
+    if (readRow === undefined) return false;
+    readRows(reader, readRow);
     return true;
   }
 
-  #rowOf(field: number): ((rows: BinaryReader) => void) | undefined {
+  #rowReader(field: number): ((rows: BinaryReader) => void) | undefined {
     switch (field) {
       case this.#fields.changes:
-        return (rows) => this.#change(rows);
+        return (rows) => this.#readChange(rows);
       case this.#fields.uses:
-        return (rows) => this.#use(rows);
+        return (rows) => this.#readUse(rows);
       case this.#fields.inFlight:
-        return (rows) => this.#endpoints(rows);
+        return (rows) => this.#readInFlight(rows);
       case this.#fields.limits:
-        return (rows) => this.#limit(rows);
+        return (rows) => this.#readLimit(rows);
       case this.#fields.reserved:
-        return (rows) => this.#share(rows);
+        return (rows) => this.#readShare(rows);
       default:
         return undefined;
     }
   }
 
-  #change(rows: BinaryReader): void {
-    const kind = readName(rows, this.#book);
-    const revision = readWhole(rows);
+  #readChange(rows: BinaryReader): void {
+    const kind = readName(rows, this.#dictionary);
+    const revision = readSafeInteger(rows);
     if (kind !== undefined) this.changes.set(kind, revision);
   }
 
-  #use(rows: BinaryReader): void {
-    const account = readName(rows, this.#book);
+  #readUse(rows: BinaryReader): void {
+    const account = readName(rows, this.#dictionary);
     const use = {
-      perS: readWhole(rows) / TENTHS,
-      admitted: readWhole(rows),
+      perS: readSafeInteger(rows) / TENTHS,
+      admitted: readSafeInteger(rows),
       level: Number(rows.sint64()) / TENTHS,
     };
     if (account !== undefined) this.uses.set(account as RatedId, use);
   }
 
-  #endpoints(rows: BinaryReader): void {
-    const n = readWhole(rows);
+  #readInFlight(rows: BinaryReader): void {
+    const n = readSafeInteger(rows);
     for (let left = rows.uint32(); left > 0; left--) {
-      const endpoint = readName(rows, this.#book);
+      const endpoint = readName(rows, this.#dictionary);
       if (endpoint !== undefined) this.inFlight.set(endpoint as EndpointId, n);
     }
   }
 
-  #limit(rows: BinaryReader): void {
-    const limit = readLimit(rows, this.#book);
+  #readLimit(rows: BinaryReader): void {
+    const limit = readLimit(rows, this.#dictionary);
     if (limit !== undefined) this.limits.set(...limit);
   }
 
-  #share(rows: BinaryReader): void {
-    const account = readName(rows, this.#book);
+  #readShare(rows: BinaryReader): void {
+    const account = readName(rows, this.#dictionary);
     const share = rows.uint32() / SHARE_UNITS;
     if (account !== undefined) this.#shares.set(account as RatedId, share);
   }
 }
 
-/** Most endpoints hold one or two requests of an instance. */
-function byCount(
+/** Groups endpoints by count: most have one or two requests of an instance. */
+function groupByCount(
   inFlight: ReadonlyMap<EndpointId, number>,
 ): Map<number, EndpointId[]> {
   const groups = new Map<number, EndpointId[]>();
--- a/src/fleet/status_bits.ts
+++ b/src/fleet/status_bits.ts
@@ -1,40 +1,40 @@
 /**
- * What an instance says of its state in one number.
+ * Bit field with the status of an instance.
  *
  * @module
  */
 import type { Digest } from "./digest.ts";
 import { INSTANCE_STATES } from "./instance_profile.ts";
 
-/** What the number holds. */
 export type InstanceStatus = Pick<
   Digest,
   "state" | "storeInTouch" | "isStoreWatcher" | "relays"
 >;
 
-/** The number of the state is in the lowest bits. */
-const STATE_BITS = 3;
-const STORE_IN_TOUCH = 4;
-const ASKS_STORE = 8;
-const RELAYS = 16;
-/** The lowest bit that a message may use for itself. */
-export const FREE_BIT = 32;
+/** Mask of the lowest bits, which hold the index of the state. */
+const STATE_MASK = 3;
+const STORE_REACHABLE = 4;
+const STORE_WATCHER = 8;
+const RELAY = 16;
+/** Lowest bit that a message may use for a flag of its own. */
+export const FIRST_FREE_BIT = 32;
 
-export function statusBits(status: InstanceStatus): number {
+export function encodeStatus(status: InstanceStatus): number {
   const { state, storeInTouch, isStoreWatcher, relays } = status;
   return INSTANCE_STATES.indexOf(state) |
-    (storeInTouch ? STORE_IN_TOUCH : 0) | (isStoreWatcher ? ASKS_STORE : 0) |
-    (relays ? RELAYS : 0);
+    (storeInTouch ? STORE_REACHABLE : 0) |
+    (isStoreWatcher ? STORE_WATCHER : 0) |
+    (relays ? RELAY : 0);
 }
 
-/** Undefined where the bits name no state. */
-export function statusOf(bits: number): InstanceStatus | undefined {
-  const state = INSTANCE_STATES[bits & STATE_BITS];
+/** Undefined if the bits hold an unknown state. */
+export function decodeStatus(bits: number): InstanceStatus | undefined {
+  const state = INSTANCE_STATES[bits & STATE_MASK];
   if (state === undefined) return undefined;
   return {
     state,
-    storeInTouch: (bits & STORE_IN_TOUCH) !== 0,
-    isStoreWatcher: (bits & ASKS_STORE) !== 0,
-    relays: (bits & RELAYS) !== 0,
+    storeInTouch: (bits & STORE_REACHABLE) !== 0,
+    isStoreWatcher: (bits & STORE_WATCHER) !== 0,
+    relays: (bits & RELAY) !== 0,
   };
 }
--- a/src/fleet/testing/digest_fixtures.ts
+++ b/src/fleet/testing/digest_fixtures.ts
@@ -1,12 +1,12 @@
 /**
- * Instances and their digests for tests.
+ * Instance profiles and digests for tests.
  *
  * @module
  */
 import type { InstanceId, RegionId, ZoneId } from "../../core/mod.ts";
 import type { Digest, InstanceProfile } from "../mod.ts";
 
-/** An instance of zone `a` of a region. */
+/** Profile of an instance in zone `a` of a region. */
 export function profile(id: string, region = "gulf"): InstanceProfile {
   return {
     id: id as InstanceId,
@@ -17,7 +17,7 @@
   };
 }
 
-/** What an instance tells that serves. */
+/** Digest of a serving instance. */
 export function digest(id: string, opts: Partial<Digest> = {}): Digest {
   return {
     profile: profile(id),
--- a/src/fleet/udp_transport.ts
+++ b/src/fleet/udp_transport.ts
@@ -1,5 +1,5 @@
 /**
- * Datagrams over UDP.
+ * Datagram transport over UDP.
  *
  * @module
  */
@@ -8,17 +8,17 @@
 import type { DatagramTransport } from "./datagrams.ts";
 import { splitAddress } from "./address.ts";
 
-/** A bound UDP socket. */
+/** Sends and receives datagrams on a bound UDP socket. */
 export class UdpTransport implements DatagramTransport {
   readonly #socket: Socket;
 
   private constructor(socket: Socket) {
     this.#socket = socket;
-    // A peer whose port is closed is reported here; its silence shows it too.
+    // Errors of closed peer ports are ignored: missing digests reveal them.
     socket.on("error", () => {});
   }
 
-  /** Binds to host and port. */
+  /** Binds to `host:port`. */
   static bind(address: string): Promise<UdpTransport> {
     const { host, port } = splitAddress(address);
     const socket = createSocket("udp4");
@@ -31,7 +31,7 @@
     });
   }
 
-  /** The port that was bound. */
+  /** The bound port. */
   get port(): number {
     return this.#socket.address().port;
   }
@@ -41,8 +41,8 @@
     this.#socket.send(bytes, port, host, () => {});
   }
 
-  onDatagram(take: (bytes: Uint8Array) => void): void {
-    this.#socket.on("message", take);
+  onDatagram(handler: (bytes: Uint8Array) => void): void {
+    this.#socket.on("message", handler);
   }
 
   close(): Promise<void> {
--- a/src/fleet/wire_rows.ts
+++ b/src/fleet/wire_rows.ts
@@ -1,6 +1,6 @@
 /**
- * Parts of messages in the wire format of protocol buffers: names as hashes,
- * counts as varints, rows without a tag for each number.
+ * Encoding of message parts in the protocol buffers wire format: names as
+ * hashes, counts as varints, rows without a tag per number.
  *
  * @module
  */
@@ -21,10 +21,10 @@
 import type { InstanceProfile } from "./instance_profile.ts";
 import type { NameBook } from "./name_book.ts";
 
-/** Precedes a name in full, where its hash is ambiguous. */
-const WRITTEN_OUT = 0;
+/** Sent in place of a hash: the full name follows. */
+const FULL_NAME = 0;
 
-/** Writes rows as one field, without a tag for each number. */
+/** Writes rows as one length-delimited field, without a tag per number. */
 export function writeRows<K, V>(
   out: BinaryWriter,
   field: number,
@@ -37,7 +37,7 @@
   out.join();
 }
 
-/** Calls `read` for each row of a field. */
+/** Calls `read` until all rows of a field are consumed. */
 export function readRows(
   reader: BinaryReader,
   read: (rows: BinaryReader) => void,
@@ -46,29 +46,28 @@
   while (rows.pos < rows.len) read(rows);
 }
 
-/** Writes a name as its hash, or in full where the hash is ambiguous. */
+/** Writes a name as its hash, or in full if the hash is ambiguous. */
 export function writeName(
   out: BinaryWriter,
   name: string,
-  book: NameBook,
+  dictionary: NameBook,
 ): void {
   const key = hash(name);
-  if (key !== WRITTEN_OUT && book.isClear(name)) out.fixed32(key);
-  else out.fixed32(WRITTEN_OUT).string(name);
+  if (key !== FULL_NAME && dictionary.isUnambiguous(name)) out.fixed32(key);
+  else out.fixed32(FULL_NAME).string(name);
 }
 
-/** Reads a name; undefined where its hash is not known here. */
+/** Reads a name; undefined if it is invalid or its hash unknown or ambiguous. */
 export function readName(
   rows: BinaryReader,
-  book: NameBook,
+  dictionary: NameBook,
 ): string | undefined {
   const key = rows.fixed32();
-  if (key !== WRITTEN_OUT) return book.nameOf(key);
+  if (key !== FULL_NAME) return dictionary.nameOf(key);
   const name = rows.string();
   return isName(name) ? name : undefined;
 }
 
-/** Writes an instance's profile. */
 export function writeProfile(
   out: BinaryWriter,
   field: number,
@@ -78,43 +77,43 @@
   out.tag(field, WireType.LengthDelimited).string(text);
 }
 
-/** Reads an instance's profile. */
 export function readProfileField(
   reader: BinaryReader,
 ): Result<InstanceProfile, Failure> {
   return readProfile(JSON.parse(reader.string()) as ProfileRow);
 }
 
-/** Reads a whole number; throws where it is too large to be exact. */
-export function readWhole(reader: BinaryReader): number {
+/** Reads an integer; throws if it exceeds `Number.MAX_SAFE_INTEGER`. */
+export function readSafeInteger(reader: BinaryReader): number {
   const value = Number(reader.uint64());
-  if (!Number.isSafeInteger(value)) throw new RangeError("number too large");
+  if (!Number.isSafeInteger(value)) throw new RangeError("integer too large");
   return value;
 }
 
 /**
- * Reads a message field by field; `take` gives whether it knows a field.
+ * Reads a message field by field; fields for which `readField` returns false
+ * are skipped.
  *
- * Errors: `bad_request` where the bytes are too long or no message.
+ * Errors: `bad_request` if the datagram is too long or malformed.
  */
 export function readMessage(
   bytes: Uint8Array,
-  mostBytes: number,
-  take: (field: number, reader: BinaryReader) => boolean,
+  maxBytes: number,
+  readField: (field: number, reader: BinaryReader) => boolean,
 ): Result<void, Failure> {
-  if (bytes.length > mostBytes) {
-    return fail("bad_request", "the datagram is too long");
+  if (bytes.length > maxBytes) {
+    return fail("bad_request", "the datagram exceeds the size limit");
   }
   try {
-    // The reader takes values out of the bytes; the socket's buffer is used
-    // again.
+    // Copied: decoded values may refer to the bytes, and the socket reuses its
+    // buffer.
     const reader = new BinaryReader(Buffer.from(bytes));
     while (reader.pos < reader.len) {
       const [field, type] = reader.tag();
-      if (!take(field, reader)) reader.skip(type, field);
+      if (!readField(field, reader)) reader.skip(type, field);
     }
   } catch (cause) {
-    return fail("bad_request", `the datagram is no digest: ${String(cause)}`);
+    return fail("bad_request", `the datagram is malformed: ${String(cause)}`);
   }
   return ok(undefined);
 }
--- a/src/fleet/zone_digest.ts
+++ b/src/fleet/zone_digest.ts
@@ -1,12 +1,12 @@
 /**
- * What a zone's relay tells the relays of the other zones of its zone.
+ * Summary of a zone that its relay sends to the relays of the other zones.
  *
- * Load: digests from each instance to each other cost each of n instances 4n
- * messages a second both ways, and all of them n times as much between regions,
- * on links that are paid by the byte. Summed by zone, what crosses zones grows
- * with the zones and not with the instances.
+ * Load: in a full mesh each of n instances sends and receives 4n digests a
+ * second, and all together n times as many, partly over links between regions
+ * that are billed by the byte. With one summary per zone, traffic between zones
+ * grows with the number of zones instead of instances.
  *
- * Like a digest it is whole and needs no earlier one.
+ * Like a digest it is self-contained: a lost one does no harm.
  *
  * @module
  */
@@ -24,7 +24,7 @@
   type RegionId,
   type ZoneId,
 } from "../core/mod.ts";
-import type { DigestNames } from "./compact_digest.ts";
+import type { HashResolver } from "./compact_digest.ts";
 import { isName } from "./digest_rows.ts";
 import {
   INSTANCE_STATES,
@@ -33,9 +33,9 @@
 } from "./instance_profile.ts";
 import type { NameBook } from "./name_book.ts";
 import {
-  ReportDraft,
-  type SumsReport,
-  writeSumsReport,
+  ReportDecoder,
+  type SummedReport,
+  writeSummedReport,
 } from "./report_rows.ts";
 import {
   readMessage,
@@ -44,26 +44,25 @@
   writeProfile,
 } from "./wire_rows.ts";
 
-/** An instance of the zone. */
 export interface ZoneMember {
   readonly profile: InstanceProfile;
   readonly state: InstanceState;
 }
 
-/** One digest of a zone: its changes are those that the relay knows of. */
-export interface ZoneDigest extends SumsReport {
+/** Summary of a zone; `changes` are those that its relay has received. */
+export interface ZoneDigest extends SummedReport {
   readonly zone: ZoneId;
   readonly region: RegionId;
-  /** The zone's relay. */
+  /** The relay of the zone, which sent the summary. */
   readonly relay: InstanceId;
-  /** Instances of the zone that are heard, the relay included. */
+  /** Reachable instances of the zone, including the relay. */
   readonly members: readonly ZoneMember[];
 }
 
-/** Longer datagrams are dropped unread, in bytes. */
+/** Longer datagrams are rejected without decoding. */
 const MAX_BYTES = 60_000;
 
-/** Field numbers of the message; they do not change between builds. */
+/** Field numbers of the message; they must stay the same across builds. */
 const FIELD = {
   zone: 1,
   region: 2,
@@ -81,8 +80,9 @@
   inFlight: 15,
   limits: 16,
 } as const;
+
 /**
- * Writes a zone's digest as a datagram.
+ * Encodes a zone's digest.
  *
  * @example
  * ```ts
@@ -93,7 +93,7 @@
   digest: ZoneDigest,
   opts: {
     readonly book: NameBook;
-    /** Whether it says who the members are, and not only their hashes. */
+    /** Whether to include the members' profiles besides their hashes. */
     readonly introduces: boolean;
   },
 ): Uint8Array {
@@ -111,46 +111,46 @@
   for (const { profile } of introduces ? members : []) {
     writeProfile(out, FIELD.profile, profile);
   }
-  writeSumsReport(out, digest, { fields: FIELD, book });
+  writeSummedReport(out, digest, { fields: FIELD, dictionary: book });
   return out.finish();
 }
 
 /**
- * Reads a datagram.
+ * Decodes a zone's digest.
  *
- * Errors: `bad_request` where it is not a zone's digest.
+ * Errors: `bad_request` if the datagram is not a valid zone digest.
  */
 export function decodeZoneDigest(
   bytes: Uint8Array,
-  names: DigestNames,
+  resolver: HashResolver,
 ): Result<ZoneDigest, Failure> {
-  const draft = new Draft(names);
+  const decoder = new ZoneDigestDecoder(resolver);
   return readMessage(
     bytes,
     MAX_BYTES,
-    (field, reader) => draft.read(field, reader),
-  ).andThen(() => draft.finish());
+    (field, reader) => decoder.read(field, reader),
+  ).andThen(() => decoder.finish());
 }
 
-/** A zone's digest as far as it is read. */
-class Draft {
-  readonly #names: DigestNames;
+/** Collects the fields of a zone's digest. */
+class ZoneDigestDecoder {
+  readonly #resolver: HashResolver;
   #zone = "";
   #region = "";
   #relay = "";
-  readonly #report: ReportDraft;
+  readonly #report: ReportDecoder;
   readonly #members: { idHash: number; state: InstanceState }[] = [];
   readonly #profiles = new Map<number, InstanceProfile>();
 
-  constructor(names: DigestNames) {
-    this.#names = names;
-    this.#report = new ReportDraft(FIELD, names.book);
+  constructor(resolver: HashResolver) {
+    this.#resolver = resolver;
+    this.#report = new ReportDecoder(FIELD, resolver.book);
   }
 
   finish(): Result<ZoneDigest, Failure> {
     const names = [this.#zone, this.#region, this.#relay];
     if (!names.every(isName) || !this.#report.isIdentified) {
-      return fail("bad_request", "the datagram is no digest of a zone");
+      return fail("bad_request", "the zone digest is invalid");
     }
     const { start, seq, instances, storeInTouch, reserved } = this.#report;
     const { changes, uses, inFlight, limits } = this.#report;
@@ -162,7 +162,7 @@
       seq,
       storeInTouch,
       changes,
-      members: this.#members.flatMap((member) => this.#known(member)),
+      members: this.#members.flatMap((member) => this.#resolve(member)),
       instances,
       reserved,
       uses,
@@ -171,7 +171,7 @@
     });
   }
 
-  /** Reads a field; gives false where it is not known. */
+  /** Reads a field; returns false if the field number is unknown. */
   read(field: number, reader: BinaryReader): boolean {
     switch (field) {
       case FIELD.zone:
@@ -184,7 +184,7 @@
         this.#relay = reader.string();
         return true;
       case FIELD.members:
-        readRows(reader, (rows) => this.#member(rows));
+        readRows(reader, (rows) => this.#readMember(rows));
         return true;
       case FIELD.profile: {
         const profile = readProfileField(reader);
@@ -197,18 +197,19 @@
     }
   }
 
-  #member(rows: BinaryReader): void {
+  #readMember(rows: BinaryReader): void {
     const idHash = rows.fixed32();
     const state = INSTANCE_STATES[rows.uint32()];
     if (state !== undefined) this.#members.push({ idHash, state });
   }
 
-  /** A member that is not known yet is left out until it is introduced. */
-  #known(
+  /** Leaves out a member until its profile has been received. */
+  #resolve(
     member: { readonly idHash: number; readonly state: InstanceState },
   ): ZoneMember[] {
     const { idHash, state } = member;
-    const profile = this.#profiles.get(idHash) ?? this.#names.profileOf(idHash);
+    const profile = this.#profiles.get(idHash) ??
+      this.#resolver.profileOf(idHash);
     return profile === undefined ? [] : [{ profile, state }];
   }
 }
--- a/src/fleet/zone_table.ts
+++ b/src/fleet/zone_table.ts
@@ -1,5 +1,5 @@
 /**
- * The other zones, as their relays report them.
+ * State of the other zones, as their relays report it.
  *
  * @module
  */
@@ -8,16 +8,16 @@
 import type { ZoneDigest } from "./zone_digest.ts";
 
 /**
- * A zone without a digest for this long is suspect and its share of rates set
- * aside, in milliseconds: two digests and the way through this zone's relay.
+ * After this long without a digest a zone is suspect and its share of rates is
+ * reserved: two periods and the hop through this zone's relay.
  */
 const SUSPECT_AFTER_MS = 900;
-/** Callers are not sent to a zone that is not heard for this long, in ms. */
+/** After this long without a digest, callers are not sent to a zone. */
 const UNREACHABLE_AFTER_MS = 1_500;
-/** Left out of all sums after this: a restart takes a few seconds, in ms. */
+/** After this long it is left out of all sums; a restart takes a few seconds. */
 const REMOVED_AFTER_MS = 60_000;
 
-/** What changes among the zones. */
+/** Receives reports and state changes of the other zones. */
 export interface ZoneEvents {
   reported(digest: ZoneDigest, now: number): void;
   suspect(zone: ZoneId): void;
@@ -27,12 +27,12 @@
 
 interface ZoneRow {
   digest: ZoneDigest;
-  heardAt: number;
+  lastDigestAt: number;
   suspect: boolean;
   unreachable: boolean;
 }
 
-/** What is known of each other zone. */
+/** Latest digest and reachability of each other zone. */
 export class ZoneTable {
   readonly #rows = new Map<ZoneId, ZoneRow>();
   readonly #events: ZoneEvents;
@@ -42,25 +42,25 @@
   }
 
   /**
-   * Takes in a digest unless it is older than the last. While two instances of
-   * a zone speak, as when one took over from one that was only slow, the first
-   * is heard: their counts do not go together. One that leaves is followed at
-   * once. Gives whether the digest was taken in.
+   * Accepts a digest unless it is older than the last. While two instances act
+   * as a zone's relay, as after a takeover from a slow one, the first is kept:
+   * their counters cannot be combined. The successor of a relay that restarted,
+   * left or is leaving is accepted at once. Returns whether it was accepted.
    */
   heard(digest: ZoneDigest, now: number): boolean {
     const { zone, relay, start, seq } = digest;
     const row = this.#rows.get(zone);
     if (row !== undefined) {
       const { digest: last } = row;
-      const same = last.relay === relay && last.start === start;
-      if (same && seq <= last.seq) return false;
-      const followed = last.relay === relay || hasLeft(last, digest);
-      if (!same && !row.suspect && !followed) return false;
-      if (!same && !row.suspect) this.#events.suspect(zone);
+      const sameRun = last.relay === relay && last.start === start;
+      if (sameRun && seq <= last.seq) return false;
+      const isSuccessor = last.relay === relay || hasLeft(last, digest);
+      if (!sameRun && !row.suspect && !isSuccessor) return false;
+      if (!sameRun && !row.suspect) this.#events.suspect(zone);
     }
     this.#rows.set(zone, {
       digest,
-      heardAt: now,
+      lastDigestAt: now,
       suspect: false,
       unreachable: false,
     });
@@ -68,23 +68,22 @@
     return true;
   }
 
-  /** Looks for zones that became unreachable. */
+  /** Marks or removes zones whose last digest is too old. */
   tick(now: number): void {
     for (const [zone, row] of this.#rows) {
-      const unheardMs = now - row.heardAt;
-      if (unheardMs > SUSPECT_AFTER_MS && !row.suspect) {
+      const silentMs = now - row.lastDigestAt;
+      if (silentMs > SUSPECT_AFTER_MS && !row.suspect) {
         row.suspect = true;
         this.#events.suspect(zone);
       }
-      if (unheardMs > UNREACHABLE_AFTER_MS && !row.unreachable) {
+      if (silentMs > UNREACHABLE_AFTER_MS && !row.unreachable) {
         row.unreachable = true;
         this.#events.unreachable(zone);
       }
-      if (unheardMs > REMOVED_AFTER_MS) this.forget(zone);
+      if (silentMs > REMOVED_AFTER_MS) this.forget(zone);
     }
   }
 
-  /** Leaves a zone out. */
   forget(zone: ZoneId): void {
     if (this.#rows.delete(zone)) this.#events.removed(zone);
   }
@@ -93,7 +92,7 @@
     return [...this.#rows.keys()];
   }
 
-  /** The relay of a zone that is heard. */
+  /** The relay of a zone; undefined if the zone is unknown or suspect. */
   relay(zone: ZoneId): InstanceProfile | undefined {
     const row = this.#rows.get(zone);
     if (row === undefined || row.suspect) return undefined;
@@ -101,7 +100,7 @@
     return members.find((m) => m.profile.id === relay)?.profile;
   }
 
-  /** Instances of zones that are heard, which take callers. */
+  /** Serving instances of the reachable zones. */
   serving(): readonly InstanceProfile[] {
     return [...this.#rows.values()].filter((row) => !row.unreachable)
       .flatMap((row) => row.digest.members)
@@ -109,13 +108,13 @@
   }
 }
 
-/** Whether who spoke last is known to leave, or to be gone. */
+/** Whether the previous relay has left or is leaving, according to `next`. */
 function hasLeft(last: ZoneDigest, next: ZoneDigest): boolean {
-  const before = next.members.find((m) => m.profile.id === last.relay);
-  return before === undefined || before.state === "leaving";
+  const previous = next.members.find((m) => m.profile.id === last.relay);
+  return previous === undefined || previous.state === "leaving";
 }
 
-/** A zone counts like one instance where rates are shared. */
+/** Id under which a zone shares rates, as if it were one instance. */
 export function groupOf(zone: ZoneId): InstanceId {
   return `zone ${zone}` as InstanceId;
 }
