--- a/src/edge/edge_instance.ts
+++ b/src/edge/edge_instance.ts
@@ -26,7 +26,7 @@
   FleetMember,
   type InstanceProfile,
   type InstanceState,
-  NameBook,
+  NameDictionary,
   type SelfReport,
 } from "../fleet/mod.ts";
 import type { EndpointRow, TrafficPlan } from "../traffic/mod.ts";
@@ -96,7 +96,7 @@
   readonly #watchers: SteeringWatchers;
   readonly #snapshots: PeerSnapshots;
   readonly #gate: StartGate;
-  readonly #book = new NameBook();
+  readonly #book = new NameDictionary();
   readonly #abort = new AbortController();
   readonly #retries: SharedRetryBudget;
   readonly #peerLoad: PeerLoad;
@@ -111,7 +111,7 @@
     const { cfg, clock, random, log, codec, sources } = opts;
     this.#retries = new SharedRetryBudget(cfg.retries);
     this.#gate = new StartGate(clock);
-    for (const kind of KINDS) this.#book.learn(kind);
+    for (const kind of KINDS) this.#book.add(kind);
     this.#graceMs = cfg.graceMs;
     this.#profile = {
       ...cfg.instance,
@@ -121,7 +121,7 @@
     this.#sender = new HttpEndpointSender(codec, clock);
     this.#snapshots = new PeerSnapshots(random);
     this.#state = new TrafficState((zone) => cfg.zones.get(zone), {
-      added: (row) => this.#book.learn(row.id),
+      added: (row) => this.#book.add(row.id),
       removed: (row) => this.#forget(row),
     });
     this.#peerLoad = new PeerLoad((id) => this.#state.endpoints.get(id));
@@ -314,7 +314,7 @@
 
   #adopted(plan: TrafficPlan): void {
     this.#opts.metrics.gauge("plan.in_force", plan.version);
-    for (const { id } of plan.accounts) this.#book.learn(id);
+    for (const { id } of plan.accounts) this.#book.add(id);
     this.#quotas.adopt(plan.accounts, this.#opts.clock.now());
     this.#server?.limit(plan.limits);
     this.#openGate();
--- a/src/fleet/bundles.ts
+++ b/src/fleet/bundles.ts
@@ -27,7 +27,7 @@
   }
 
   /** Adds a datagram in place of the sender's previous one. */
-  gather(sender: string, type: DatagramType, bytes: Uint8Array): void {
+  put(sender: string, type: DatagramType, bytes: Uint8Array): void {
     this.#parts.set(sender, encodePart(type, bytes));
   }
 
@@ -49,7 +49,7 @@
 }
 
 /** Dispatches each part as a datagram; stops at a truncated or unknown one. */
-export function readBundles(datagrams: Datagrams): void {
+export function dispatchBundles(datagrams: Datagrams): void {
   datagrams.on("bundle", (bytes) => {
     const buffer = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.length);
     let offset = 0;
--- a/src/fleet/compact_digest.ts
+++ b/src/fleet/compact_digest.ts
@@ -23,7 +23,7 @@
 import { fail, type Failure, hash } from "../core/mod.ts";
 import type { Digest } from "./digest.ts";
 import type { InstanceProfile } from "./instance_profile.ts";
-import type { NameBook } from "./name_book.ts";
+import type { NameDictionary } from "./name_dictionary.ts";
 import { ReportDecoder, writeReport } from "./report_rows.ts";
 import { decodeStatus, encodeStatus } from "./status_bits.ts";
 import {
@@ -54,7 +54,7 @@
 
 /** Resolves the hashes in a digest. */
 export interface HashResolver {
-  readonly book: NameBook;
+  readonly dictionary: NameDictionary;
   /** Profile of an instance by the hash of its id. */
   readonly profileOf: (idHash: number) => InstanceProfile | undefined;
 }
@@ -68,25 +68,25 @@
  * datagrams.send("compactDigest", addresses, bytes);
  * ```
  */
-export function encodeCompact(
+export function encodeCompactDigest(
   digest: Digest,
   opts: {
-    readonly book: NameBook;
+    readonly dictionary: NameDictionary;
     /** Whether to include the profiles of the sender and of `digest.others`. */
-    readonly introduces: boolean;
+    readonly includeProfiles: boolean;
   },
 ): Uint8Array {
   const { profile } = digest;
-  const { book, introduces } = opts;
+  const { dictionary: dictionary, includeProfiles: includeProfiles } = opts;
   const out = new BinaryWriter();
   out.tag(FIELD.senderHash, WireType.Bit32).fixed32(hash(profile.id));
   out.tag(FIELD.flags, WireType.Varint).uint32(encodeStatus(digest));
   out.tag(FIELD.planVersion, WireType.Varint).uint64(digest.planVersion);
   out.tag(FIELD.capacity, WireType.Bit64).double(digest.capacity);
-  writeReport(out, digest, { fields: FIELD, dictionary: book });
-  if (introduces) {
+  writeReport(out, digest, { fields: FIELD, dictionary: dictionary });
+  if (includeProfiles) {
     writeProfile(out, FIELD.profile, profile);
-    for (const p of digest.others) writeProfile(out, FIELD.other, p);
+    for (const p of digest.otherProfiles) writeProfile(out, FIELD.other, p);
   }
   return out.finish();
 }
@@ -97,7 +97,7 @@
  *
  * Errors: `bad_request` if the datagram is not a valid digest.
  */
-export function decodeCompact(
+export function decodeCompactDigest(
   bytes: Uint8Array,
   resolver: HashResolver,
 ): Result<Digest | undefined, Failure> {
@@ -122,7 +122,7 @@
 
   constructor(resolver: HashResolver) {
     this.#resolver = resolver;
-    this.#report = new ReportDecoder(FIELD, resolver.book);
+    this.#report = new ReportDecoder(FIELD, resolver.dictionary);
   }
 
   finish(): Result<Digest | undefined, Failure> {
@@ -146,7 +146,7 @@
       uses: this.#report.uses,
       inFlight: this.#report.inFlight,
       limits: this.#report.limits,
-      others: this.#others,
+      otherProfiles: this.#others,
     });
   }
 
--- a/src/fleet/compact_digest_test.ts
+++ b/src/fleet/compact_digest_test.ts
@@ -10,12 +10,12 @@
   type ZoneId,
 } from "../core/mod.ts";
 import {
-  decodeCompact,
+  decodeCompactDigest,
   type Digest,
-  encodeCompact,
-  encodeDigest,
+  encodeCompactDigest,
+  encodeJsonDigest,
   type InstanceProfile,
-  NameBook,
+  NameDictionary,
 } from "./mod.ts";
 import { digest as digestOf } from "./testing/digest_fixtures.ts";
 
@@ -43,23 +43,29 @@
 
 /** Receiver state with the sender's profile and these names. */
 function receiver(...names: string[]) {
-  const book = new NameBook();
-  for (const name of names) book.learn(name);
+  const dictionary = new NameDictionary();
+  for (const name of names) dictionary.add(name);
   const profileOf = (key: number) => key === hash("i1") ? KNOWN : undefined;
-  return { book, profileOf };
+  return { dictionary: dictionary, profileOf };
 }
 
 /** Encodes a digest without profiles. */
 function encodeWithoutProfiles(
   sent: Digest,
-  { book }: {
-    book: NameBook;
+  { dictionary: dictionary }: {
+    dictionary: NameDictionary;
   },
 ): Uint8Array {
-  return encodeCompact(sent, { book, introduces: false });
+  return encodeCompactDigest(sent, {
+    dictionary: dictionary,
+    includeProfiles: false,
+  });
 }
 
-const NEW_RECEIVER = { book: new NameBook(), profileOf: () => undefined };
+const NEW_RECEIVER = {
+  dictionary: new NameDictionary(),
+  profileOf: () => undefined,
+};
 
 test("a digest decodes to what was encoded", (t) => {
   const sent = digest({
@@ -68,7 +74,7 @@
     changes: new Map([["plans", 12]]),
   });
   const names = receiver("a1", "e1", "plans");
-  const read = decodeCompact(encodeWithoutProfiles(sent, names), names);
+  const read = decodeCompactDigest(encodeWithoutProfiles(sent, names), names);
   t.deepEqual(read._unsafeUnwrap(), sent);
 });
 
@@ -90,7 +96,10 @@
         );
         const sent = digest({ uses, inFlight } as unknown as Partial<Digest>);
         const names = receiver(...inFlight.keys(), ...uses.keys());
-        const read = decodeCompact(encodeWithoutProfiles(sent, names), names)
+        const read = decodeCompactDigest(
+          encodeWithoutProfiles(sent, names),
+          names,
+        )
           ._unsafeUnwrap();
         // Endpoints are grouped by count, so their order may change.
         t.deepEqual(Object.fromEntries(read?.inFlight ?? []), counts);
@@ -109,12 +118,12 @@
     inFlight: new Map([[a, 1], [b, 2]]) as Map<EndpointId, number>,
   });
   const both = receiver(a, b);
-  const read = decodeCompact(encodeWithoutProfiles(sent, both), both);
+  const read = decodeCompactDigest(encodeWithoutProfiles(sent, both), both);
   t.deepEqual(read._unsafeUnwrap()?.inFlight, sent.inFlight);
   // A sender that has only one of them sends the hash, which is ambiguous to a
   // receiver that has both.
   const one = digest({ inFlight: new Map([[a as EndpointId, 1]]) });
-  const ambiguous = decodeCompact(
+  const ambiguous = decodeCompactDigest(
     encodeWithoutProfiles(one, receiver(a)),
     both,
   );
@@ -127,7 +136,7 @@
     inFlight: new Map([["new", 1], ["old", 2]]) as Map<EndpointId, number>,
   });
   const names = receiver("old");
-  const read = decodeCompact(
+  const read = decodeCompactDigest(
     encodeWithoutProfiles(sent, receiver("old")),
     names,
   );
@@ -138,27 +147,30 @@
   // A starting instance receives digests before it has read the instance list.
   // It must not invent a sender; the profile arrives within seconds.
   const names = receiver();
-  const sent = digest({ others: [profile("i2")] });
-  const plain = encodeCompact(sent, { ...names, introduces: false });
-  t.is(decodeCompact(plain, NEW_RECEIVER)._unsafeUnwrap(), undefined);
-  const whole = encodeCompact(sent, { ...names, introduces: true });
-  t.deepEqual(decodeCompact(whole, NEW_RECEIVER)._unsafeUnwrap(), sent);
+  const sent = digest({ otherProfiles: [profile("i2")] });
+  const plain = encodeCompactDigest(sent, { ...names, includeProfiles: false });
+  t.is(decodeCompactDigest(plain, NEW_RECEIVER)._unsafeUnwrap(), undefined);
+  const whole = encodeCompactDigest(sent, { ...names, includeProfiles: true });
+  t.deepEqual(decodeCompactDigest(whole, NEW_RECEIVER)._unsafeUnwrap(), sent);
 });
 
 test("truncated or random datagrams do not throw, and oversized ones are rejected", (t) => {
   // An open port can receive arbitrary datagrams.
-  const whole = encodeCompact(digest(), { ...NEW_RECEIVER, introduces: true });
+  const whole = encodeCompactDigest(digest(), {
+    ...NEW_RECEIVER,
+    includeProfiles: true,
+  });
   for (let length = 0; length < whole.length; length++) {
-    const read = decodeCompact(whole.subarray(0, length), NEW_RECEIVER);
+    const read = decodeCompactDigest(whole.subarray(0, length), NEW_RECEIVER);
     t.true(read.isErr() || read.value === undefined || length > 30);
   }
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 200 }), (bytes) => {
-      decodeCompact(bytes, NEW_RECEIVER);
+      decodeCompactDigest(bytes, NEW_RECEIVER);
     }),
     { seed: 1 },
   );
-  t.true(decodeCompact(Buffer.alloc(20_000), NEW_RECEIVER).isErr());
+  t.true(decodeCompactDigest(Buffer.alloc(20_000), NEW_RECEIVER).isErr());
 });
 
 test("a busy instance's digest is at most a quarter of its JSON encoding", (t) => {
@@ -171,29 +183,37 @@
   >();
   for (let i = 0; i < 8; i++) {
     const id = `vopu52${i}` as AccountId;
-    names.book.learn(id);
+    names.dictionary.add(id);
     uses.set(id, { perS: 12.3 + i, admitted: 1_234 * i, level: 65.4 - i });
   }
   const inFlight = new Map<EndpointId, number>();
   for (let i = 0; i < 30; i++) {
     const id = `i-2925f7ec${i + 10}` as EndpointId;
-    names.book.learn(id);
+    names.dictionary.add(id);
     inFlight.set(id, 1 + i % 4);
   }
   const changes = new Map([["plans", 1_234], ["endpoints", 5_678], [
     "evacuations",
     99,
   ]]);
-  for (const kind of changes.keys()) names.book.learn(kind);
-  const sent = digest({ uses, inFlight, changes, others: [profile("i2")] });
+  for (const kind of changes.keys()) names.dictionary.add(kind);
+  const sent = digest({
+    uses,
+    inFlight,
+    changes,
+    otherProfiles: [profile("i2")],
+  });
   // One digest in eight carries profiles.
-  const introduced = encodeCompact(sent, { ...names, introduces: true });
+  const introduced = encodeCompactDigest(sent, {
+    ...names,
+    includeProfiles: true,
+  });
   const compact =
     (7 * encodeWithoutProfiles(sent, names).length + introduced.length) / 8;
-  const json = encodeDigest({
+  const json = encodeJsonDigest({
     ...sent,
     start: "8f14e45fceea167a",
-    others: ["i2", "i3", "i4"].map(profile),
+    otherProfiles: ["i2", "i3", "i4"].map(profile),
   }).length;
   t.true(compact <= json / 4, `${compact} of ${json} bytes`);
 });
--- a/src/fleet/datagrams.ts
+++ b/src/fleet/datagrams.ts
@@ -73,7 +73,7 @@
    * Sets the decoder and the handler of a type of datagram. Only the first
    * decoding failure is logged, since an open port can receive anything.
    */
-  onRead<T>(
+  onDecoded<T>(
     type: DatagramType,
     decode: (bytes: Uint8Array) => Result<T, Failure>,
     handler: (value: T, bytes: Uint8Array) => void,
--- a/src/fleet/digest.ts
+++ b/src/fleet/digest.ts
@@ -54,7 +54,7 @@
   /** Rate limits that endpoints stated, or stopped stating, in responses. */
   readonly limits: AgedLimits;
   /** Some other instances, for recipients that cannot read the instance list. */
-  readonly others: readonly InstanceProfile[];
+  readonly otherProfiles: readonly InstanceProfile[];
 }
 
 /** Longer datagrams are rejected without parsing. */
@@ -83,7 +83,7 @@
  * socket.send(encodeDigest(digest), port, host);
  * ```
  */
-export function encodeDigest(digest: Digest): Buffer {
+export function encodeJsonDigest(digest: Digest): Buffer {
   const json: DigestJson = {
     p: profileRow(digest.profile),
     s: digest.state,
@@ -96,7 +96,7 @@
     k: Object.fromEntries(digest.changes),
     d: useRows(digest.uses),
     f: Object.fromEntries(digest.inFlight),
-    o: digest.others.map(profileRow),
+    o: digest.otherProfiles.map(profileRow),
   };
   return Buffer.from(JSON.stringify(json));
 }
@@ -106,7 +106,7 @@
  *
  * Errors: `bad_request` if the datagram is not a valid digest.
  */
-export function decodeDigest(bytes: Uint8Array): Result<Digest, Failure> {
+export function decodeJsonDigest(bytes: Uint8Array): Result<Digest, Failure> {
   if (bytes.length > MAX_DIGEST_BYTES) {
     return fail("bad_request", "the datagram exceeds the size limit");
   }
@@ -134,7 +134,7 @@
     uses: readUses(json.d),
     inFlight: readNumbers<EndpointId>(json.f),
     limits: new Map(),
-    others: json.o.flatMap((row) => {
+    otherProfiles: json.o.flatMap((row) => {
       const other = readProfile(row);
       return other.isOk() ? [other.value] : [];
     }),
--- a/src/fleet/digest_exchange.ts
+++ b/src/fleet/digest_exchange.ts
@@ -7,11 +7,11 @@
  * @module
  */
 import type { Clock, Random, Timer } from "../core/mod.ts";
-import { decodeCompact, encodeCompact } from "./compact_digest.ts";
+import { decodeCompactDigest, encodeCompactDigest } from "./compact_digest.ts";
 import type { Datagrams } from "./datagrams.ts";
-import { decodeDigest, type Digest, encodeDigest } from "./digest.ts";
+import { decodeJsonDigest, type Digest, encodeJsonDigest } from "./digest.ts";
 import type { InstanceProfile } from "./instance_profile.ts";
-import type { NameBook } from "./name_book.ts";
+import type { NameDictionary } from "./name_dictionary.ts";
 import type { Peer, PeerTable } from "./peer_table.ts";
 
 /** Period of digests, in milliseconds; shares of rates lag by it. */
@@ -39,7 +39,7 @@
 export interface DigestExchangeOptions {
   readonly datagrams: Datagrams;
   readonly peers: PeerTable;
-  readonly book: NameBook;
+  readonly book: NameDictionary;
   readonly clock: Clock;
   readonly random: Random;
   /** Addresses to try while no instance is known. */
@@ -66,13 +66,13 @@
     const { datagrams, peers, book, clock } = opts;
     const profileOf = (idHash: number) => peers.profileOf(idHash);
     const decode = (bytes: Uint8Array) =>
-      decodeCompact(bytes, { book, profileOf });
-    datagrams.onRead("compactDigest", decode, (digest) => {
+      decodeCompactDigest(bytes, { dictionary: book, profileOf });
+    datagrams.onDecoded("compactDigest", decode, (digest) => {
       if (digest === undefined) return;
       if (digest.seq < INTRODUCED_FIRST) this.#newcomer = true;
       peers.heard(digest, clock.now());
     });
-    datagrams.onRead("digest", decodeDigest, (digest) => {
+    datagrams.onDecoded("digest", decodeJsonDigest, (digest) => {
       peers.heard(digest, clock.now());
       this.#answerEarlierBuild(digest.profile);
     });
@@ -94,7 +94,10 @@
     const digest = compose(seq, this.#newcomer);
     this.#newcomer = false;
     this.#last = digest;
-    const bytes = encodeCompact(digest, { book, introduces });
+    const bytes = encodeCompactDigest(digest, {
+      dictionary: book,
+      includeProfiles: introduces,
+    });
     const to = recipients(digest.seq).map((p) => p.digestAddress);
     datagrams.send("compactDigest", to.length > 0 ? to : seeds, bytes);
     reported(digest);
@@ -111,7 +114,7 @@
    */
   #answerEarlierBuild({ digestAddress }: InstanceProfile): void {
     if (this.#last === undefined) return;
-    const bytes = encodeDigest(this.#last);
+    const bytes = encodeJsonDigest(this.#last);
     this.#opts.datagrams.send("digest", [digestAddress], bytes);
   }
 
--- a/src/fleet/digest_exchange_test.ts
+++ b/src/fleet/digest_exchange_test.ts
@@ -8,10 +8,10 @@
 } from "../core/mod.ts";
 import {
   Datagrams,
-  decodeDigest,
+  decodeJsonDigest,
   DigestExchange,
-  encodeDigest,
-  NameBook,
+  encodeJsonDigest,
+  NameDictionary,
   PeerTable,
 } from "./mod.ts";
 import { digest, profile } from "./testing/digest_fixtures.ts";
@@ -37,7 +37,7 @@
   const exchange = new DigestExchange({
     datagrams,
     peers,
-    book: new NameBook(),
+    book: new NameDictionary(),
     clock: new ManualClock(),
     random: new SeededRandom(1),
     seeds: ["seed:70"],
@@ -55,13 +55,13 @@
   const { exchange: subject, sent, heard, take } = exchange();
   subject.tell();
   sent.length = 0;
-  const bytes = encodeDigest(digest("old"));
+  const bytes = encodeJsonDigest(digest("old"));
   take(Buffer.concat([Buffer.of(SORT_OF_EARLIER_BUILD), bytes]));
   t.deepEqual(heard, ["old" as InstanceId]);
   t.deepEqual(sent.map((s) => s.address), ["old:70"]);
   const answer = sent[0]?.bytes ?? Buffer.alloc(0);
   t.is(answer[0], SORT_OF_EARLIER_BUILD);
-  const read = decodeDigest(answer.subarray(1))._unsafeUnwrap();
+  const read = decodeJsonDigest(answer.subarray(1))._unsafeUnwrap();
   t.is(read.profile.id, "i0" as InstanceId);
 });
 
--- a/src/fleet/fleet_aggregate.ts
+++ b/src/fleet/fleet_aggregate.ts
@@ -18,7 +18,7 @@
 import { err, ok, type Result } from "neverthrow";
 import { fail, type Failure } from "../core/mod.ts";
 import type { InstanceProfile } from "./instance_profile.ts";
-import type { NameBook } from "./name_book.ts";
+import type { NameDictionary } from "./name_dictionary.ts";
 import {
   ReportDecoder,
   type SummedReport,
@@ -97,7 +97,7 @@
  */
 export function encodeAggregate(
   aggregate: FleetAggregate,
-  dictionary: NameBook,
+  dictionary: NameDictionary,
 ): Uint8Array {
   const { members, farServing } = aggregate;
   const out = new BinaryWriter();
@@ -124,7 +124,7 @@
  */
 export function decodeAggregate(
   bytes: Uint8Array,
-  dictionary: NameBook,
+  dictionary: NameDictionary,
 ): Result<FleetAggregate, Failure> {
   const decoder = new AggregateDecoder(dictionary);
   return readMessage(
@@ -142,7 +142,7 @@
   #farServing: number[] | undefined;
   readonly #profiles: InstanceProfile[] = [];
 
-  constructor(dictionary: NameBook) {
+  constructor(dictionary: NameDictionary) {
     this.#report = new ReportDecoder(FIELD, dictionary);
   }
 
--- a/src/fleet/fleet_aggregate_test.ts
+++ b/src/fleet/fleet_aggregate_test.ts
@@ -7,14 +7,14 @@
   encodeAggregate,
   encodeZoneDigest,
   type FleetAggregate,
-  NameBook,
+  NameDictionary,
   type ZoneDigest,
 } from "./mod.ts";
 import { profile } from "./testing/digest_fixtures.ts";
 
-function dictionaryOf(...names: string[]): NameBook {
-  const dictionary = new NameBook();
-  for (const name of names) dictionary.learn(name);
+function dictionaryOf(...names: string[]): NameDictionary {
+  const dictionary = new NameDictionary();
+  for (const name of names) dictionary.add(name);
   return dictionary;
 }
 
@@ -74,7 +74,7 @@
 
 const DICTIONARY = dictionaryOf("plans", "a1", "e1", "e2");
 /** Receiver state without instance profiles. */
-const RECEIVER = { book: DICTIONARY, profileOf: () => undefined };
+const RECEIVER = { dictionary: DICTIONARY, profileOf: () => undefined };
 
 test("an aggregate decodes to what was encoded", (t) => {
   for (const farServing of [undefined, [], [hash("i3")]]) {
@@ -86,17 +86,23 @@
 
 test("a zone's digest decodes to what was encoded", (t) => {
   const sent = zoneDigest();
-  const bytes = encodeZoneDigest(sent, { book: DICTIONARY, introduces: true });
+  const bytes = encodeZoneDigest(sent, {
+    dictionary: DICTIONARY,
+    includeProfiles: true,
+  });
   t.deepEqual(decodeZoneDigest(bytes, RECEIVER)._unsafeUnwrap(), sent);
 });
 
 // Guards against members without an address and against losing known ones.
 test("members sent without profiles are resolved by their hash", (t) => {
   const sent = zoneDigest();
-  const bytes = encodeZoneDigest(sent, { book: DICTIONARY, introduces: false });
+  const bytes = encodeZoneDigest(sent, {
+    dictionary: DICTIONARY,
+    includeProfiles: false,
+  });
   const first = profile("i1");
   const profileOf = (key: number) => key === hash("i1") ? first : undefined;
-  const read = decodeZoneDigest(bytes, { book: DICTIONARY, profileOf });
+  const read = decodeZoneDigest(bytes, { dictionary: DICTIONARY, profileOf });
   const [known] = sent.members;
   t.deepEqual(read._unsafeUnwrap().members, known === undefined ? [] : [known]);
 });
@@ -122,7 +128,7 @@
 // Guards against failing on accounts that the receiver does not have yet.
 test("rows with names that the receiver does not know are ignored", (t) => {
   const bytes = encodeAggregate(aggregate(), DICTIONARY);
-  const read = decodeAggregate(bytes, new NameBook())._unsafeUnwrap();
+  const read = decodeAggregate(bytes, new NameDictionary())._unsafeUnwrap();
   t.is(read.uses.size, 0);
   t.is(read.inFlight.size, 0);
   t.is(read.members.length, 1);
--- a/src/fleet/fleet_member.ts
+++ b/src/fleet/fleet_member.ts
@@ -23,7 +23,7 @@
   type Reservation,
 } from "../decisions/quotas/mod.ts";
 import type { RelayedChanges } from "../watcher/mod.ts";
-import { readBundles } from "./bundles.ts";
+import { dispatchBundles } from "./bundles.ts";
 import { decodeChanges, encodeChanges } from "./change_relay.ts";
 import { Datagrams, type DatagramTransport } from "./datagrams.ts";
 import type { Digest } from "./digest.ts";
@@ -36,14 +36,14 @@
   type ObservedLimits,
   observedLimits,
 } from "./limit_rows.ts";
-import type { NameBook } from "./name_book.ts";
+import type { NameDictionary } from "./name_dictionary.ts";
 import { PeerTable } from "./peer_table.ts";
 import { RelayFollower } from "./relay_follower.ts";
 import type { ZoneDigest } from "./zone_digest.ts";
 import { ZoneExchange } from "./zone_exchange.ts";
 import { type Roles, ZoneRoles } from "./zone_roles.ts";
 import { ZoneRelay } from "./zone_relay.ts";
-import { groupOf, ZoneTable } from "./zone_table.ts";
+import { zoneGroupId, ZoneTable } from "./zone_table.ts";
 
 /** What an instance says of itself each time. */
 export interface SelfReport extends
@@ -77,7 +77,7 @@
   readonly seeds: readonly string[];
   readonly transport: DatagramTransport;
   /** Names that digests give as hashes; whoever learns of one adds it. */
-  readonly book: NameBook;
+  readonly book: NameDictionary;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Log;
@@ -122,9 +122,9 @@
     });
     this.#zones = new ZoneTable({
       reported: (digest, now) => this.#onZoneDigest(digest, now),
-      suspect: (zone) => this.#suspect(groupOf(zone)),
-      unreachable: (zone) => this.#unreachable(groupOf(zone)),
-      removed: (zone) => this.#forgetGroup(groupOf(zone)),
+      suspect: (zone) => this.#suspect(zoneGroupId(zone)),
+      unreachable: (zone) => this.#unreachable(zoneGroupId(zone)),
+      removed: (zone) => this.#forgetGroup(zoneGroupId(zone)),
     });
     this.#feed = new FleetFeed(events);
     const { firstStart } = opts;
@@ -157,15 +157,15 @@
       compose: (seq, toNewcomer) => this.#compose(seq, toNewcomer),
       reported: (digest) => this.#period(digest),
     });
-    this.#datagrams.onRead("changes", decodeChanges, (changes) => {
+    this.#datagrams.onDecoded("changes", decodeChanges, (changes) => {
       events.relayed(changes);
     });
-    this.#datagrams.onRead(
+    this.#datagrams.onDecoded(
       "aggregate",
       (bytes) => decodeAggregate(bytes, opts.book),
       (aggregate) => this.#onAggregate(aggregate),
     );
-    readBundles(this.#datagrams);
+    dispatchBundles(this.#datagrams);
   }
 
   /** Instances that may be serving, this one included. */
@@ -328,7 +328,7 @@
       isStoreWatcher,
       relays: this.#relays,
       capacity,
-      others: this.#someOthers(
+      otherProfiles: this.#someOthers(
         toNewcomer ? OTHERS_TOLD_NEWCOMERS : OTHERS_TOLD,
       ),
     };
@@ -355,7 +355,7 @@
     const news = {
       ...digest,
       limits: observedLimits(digest.limits, now),
-      group: groupOf(zone),
+      group: zoneGroupId(zone),
       start: `${relay} ${start}`,
     };
     this.#relay.reportZone(news);
--- a/src/fleet/fleet_test.ts
+++ b/src/fleet/fleet_test.ts
@@ -3,8 +3,8 @@
 import type { AccountId, EndpointId, RegionId } from "../core/mod.ts";
 import {
   callerAddresses,
-  decodeDigest,
-  encodeDigest,
+  decodeJsonDigest,
+  encodeJsonDigest,
   PeerTable,
 } from "./mod.ts";
 import { digest, profile } from "./testing/digest_fixtures.ts";
@@ -27,9 +27,9 @@
     uses: new Map([["a1" as AccountId, { perS: 2.5, admitted: 9, level: -3 }]]),
     inFlight: new Map([["e1" as EndpointId, 4]]),
     changes: new Map([["plans", 12]]),
-    others: [profile("i2")],
+    otherProfiles: [profile("i2")],
   });
-  t.deepEqual(decodeDigest(encodeDigest(sent))._unsafeUnwrap(), sent);
+  t.deepEqual(decodeJsonDigest(encodeJsonDigest(sent))._unsafeUnwrap(), sent);
 });
 
 const HOSTILE: readonly [string, string][] = [
@@ -51,7 +51,7 @@
   test(`a datagram that is ${name} is no digest`, (t) => {
     // Anything can reach an open port. It must neither end the process nor
     // change what the instance believes.
-    t.true(decodeDigest(Buffer.from(text)).isErr());
+    t.true(decodeJsonDigest(Buffer.from(text)).isErr());
   });
 }
 
@@ -66,10 +66,10 @@
     f: { e1: -4, e2: "2", e3: 5 },
     o: [["short"]],
   });
-  const read = decodeDigest(Buffer.from(text))._unsafeUnwrap();
+  const read = decodeJsonDigest(Buffer.from(text))._unsafeUnwrap();
   t.deepEqual([...read.uses.keys()], ["a3"]);
   t.deepEqual([...read.inFlight], [["e3", 5]]);
-  t.deepEqual(read.others, []);
+  t.deepEqual(read.otherProfiles, []);
 });
 
 test("an instance that is not heard turns suspect, then unreachable, then removed", (t) => {
@@ -109,7 +109,10 @@
 
 test("instances are learned from the digests of others", (t) => {
   const { peers } = table();
-  peers.heard(digest("i1", { others: [profile("i2"), profile("i0")] }), 0);
+  peers.heard(
+    digest("i1", { otherProfiles: [profile("i2"), profile("i0")] }),
+    0,
+  );
   t.deepEqual(peers.peers().map((p) => p.profile.id).sort(), ["i1", "i2"]);
 });
 
--- a/src/fleet/group_sums.ts
+++ b/src/fleet/group_sums.ts
@@ -89,7 +89,7 @@
   }
 
   /** Sums over all groups and `own`, which belongs to none of them. */
-  with(own: Sums): Sums {
+  sumWith(own: Sums): Sums {
     return { uses: this.#uses(own.uses), inFlight: this.#inFlight(own) };
   }
 
--- a/src/fleet/limit_rows.ts
+++ b/src/fleet/limit_rows.ts
@@ -7,7 +7,7 @@
 import { type BinaryReader, type BinaryWriter } from "@bufbuild/protobuf/wire";
 import type { EndpointId } from "../core/mod.ts";
 import type { ObservedLimit } from "../decisions/endpoint_limits/mod.ts";
-import type { NameBook } from "./name_book.ts";
+import type { NameDictionary } from "./name_dictionary.ts";
 import {
   readName,
   readSafeInteger,
@@ -66,7 +66,7 @@
   limits: AgedLimits,
   { field, dictionary }: {
     readonly field: number;
-    readonly dictionary: NameBook;
+    readonly dictionary: NameDictionary;
   },
 ): void {
   writeRows(out, field, limits, (endpoint, { ratePerS, ageMs }) => {
@@ -78,7 +78,7 @@
 /** Reads one row; undefined if the endpoint is unknown or the rate invalid. */
 export function readLimit(
   rows: BinaryReader,
-  dictionary: NameBook,
+  dictionary: NameDictionary,
 ): [EndpointId, AgedLimit] | undefined {
   const endpoint = readName(rows, dictionary);
   const rate = rows.double();
--- a/src/fleet/mod.ts
+++ b/src/fleet/mod.ts
@@ -16,7 +16,7 @@
 export * from "./group_sums.ts";
 export * from "./instance_profile.ts";
 export * from "./limit_rows.ts";
-export * from "./name_book.ts";
+export * from "./name_dictionary.ts";
 export * from "./peer_table.ts";
 export * from "./udp_transport.ts";
 export * from "./zone_digest.ts";
--- a/src/fleet/name_book.ts
+++ b/src/fleet/name_dictionary.ts
@@ -14,11 +14,11 @@
 const MAX_NAMES = 32_768;
 
 /** Names by hash. */
-export class NameBook {
+export class NameDictionary {
   /** Undefined if several names have the hash, which then resolves to none. */
   readonly #names = new Map<number, string | undefined>();
 
-  learn(name: string): void {
+  add(name: string): void {
     const key = hash(name);
     const known = this.#names.get(key);
     if (known === name) return;
--- a/src/fleet/peer_table.ts
+++ b/src/fleet/peer_table.ts
@@ -231,7 +231,7 @@
     const { profile } = digest;
     if (profile.id === this.#own.id) return;
     this.learn(profile, now);
-    for (const other of digest.others) this.learn(other, now);
+    for (const other of digest.otherProfiles) this.learn(other, now);
     const peer = this.#peers.get(profile.id);
     if (peer === undefined) return;
     if (this.#isFar(peer)) return;
--- a/src/fleet/report_rows.ts
+++ b/src/fleet/report_rows.ts
@@ -19,7 +19,7 @@
   readLimit,
   writeLimits,
 } from "./limit_rows.ts";
-import type { NameBook } from "./name_book.ts";
+import type { NameDictionary } from "./name_dictionary.ts";
 import {
   readName,
   readRows,
@@ -74,7 +74,7 @@
 
 export interface WriteReportOptions {
   readonly fields: ReportFields;
-  readonly dictionary: NameBook;
+  readonly dictionary: NameDictionary;
 }
 
 export function writeReport(
@@ -105,7 +105,7 @@
   report: SummedReport,
   { fields, dictionary }: {
     readonly fields: Required<ReportFields>;
-    readonly dictionary: NameBook;
+    readonly dictionary: NameDictionary;
   },
 ): void {
   const { instances, storeInTouch, reserved } = report;
@@ -133,9 +133,9 @@
   readonly #shares = new Map<RatedId, number>();
   #reservedInstances = 0;
   readonly #fields: ReportFields;
-  readonly #dictionary: NameBook;
+  readonly #dictionary: NameDictionary;
 
-  constructor(fields: ReportFields, dictionary: NameBook) {
+  constructor(fields: ReportFields, dictionary: NameDictionary) {
     this.#fields = fields;
     this.#dictionary = dictionary;
   }
--- a/src/fleet/testing/digest_fixtures.ts
+++ b/src/fleet/testing/digest_fixtures.ts
@@ -33,7 +33,7 @@
     uses: new Map(),
     inFlight: new Map(),
     limits: new Map(),
-    others: [],
+    otherProfiles: [],
     ...opts,
   };
 }
--- a/src/fleet/testing/member_fleet.ts
+++ b/src/fleet/testing/member_fleet.ts
@@ -27,7 +27,7 @@
   type GroupReport,
   type InstanceProfile,
   type InstanceState,
-  NameBook,
+  NameDictionary,
   type Roles,
 } from "../mod.ts";
 
@@ -107,7 +107,7 @@
   /** Datagrams sent, and of these such that cross between regions, in bytes. */
   readonly sent = { count: 0, bytes: 0, acrossBytes: 0 };
   /** Names that all members know, as from the plan and the registry. */
-  readonly book = new NameBook();
+  readonly book = new NameDictionary();
   readonly #random = new SeededRandom(1);
   readonly #byAddress = new Map<string, TestMember>();
 
@@ -218,7 +218,7 @@
         ...limits.keys(),
       ]
     ) {
-      this.book.learn(name);
+      this.book.add(name);
     }
     return { uses, inFlight };
   }
--- a/src/fleet/wire_rows.ts
+++ b/src/fleet/wire_rows.ts
@@ -19,7 +19,7 @@
   readProfile,
 } from "./digest_rows.ts";
 import type { InstanceProfile } from "./instance_profile.ts";
-import type { NameBook } from "./name_book.ts";
+import type { NameDictionary } from "./name_dictionary.ts";
 
 /** Sent in place of a hash: the full name follows. */
 const FULL_NAME = 0;
@@ -50,7 +50,7 @@
 export function writeName(
   out: BinaryWriter,
   name: string,
-  dictionary: NameBook,
+  dictionary: NameDictionary,
 ): void {
   const key = hash(name);
   if (key !== FULL_NAME && dictionary.isUnambiguous(name)) out.fixed32(key);
@@ -60,7 +60,7 @@
 /** Reads a name; undefined if it is invalid or its hash unknown or ambiguous. */
 export function readName(
   rows: BinaryReader,
-  dictionary: NameBook,
+  dictionary: NameDictionary,
 ): string | undefined {
   const key = rows.fixed32();
   if (key !== FULL_NAME) return dictionary.nameOf(key);
--- a/src/fleet/zone_digest.ts
+++ b/src/fleet/zone_digest.ts
@@ -31,7 +31,7 @@
   type InstanceProfile,
   type InstanceState,
 } from "./instance_profile.ts";
-import type { NameBook } from "./name_book.ts";
+import type { NameDictionary } from "./name_dictionary.ts";
 import {
   ReportDecoder,
   type SummedReport,
@@ -92,12 +92,12 @@
 export function encodeZoneDigest(
   digest: ZoneDigest,
   opts: {
-    readonly book: NameBook;
+    readonly dictionary: NameDictionary;
     /** Whether to include the members' profiles besides their hashes. */
-    readonly introduces: boolean;
+    readonly includeProfiles: boolean;
   },
 ): Uint8Array {
-  const { book, introduces } = opts;
+  const { dictionary: dictionary, includeProfiles: includeProfiles } = opts;
   const { members } = digest;
   const out = new BinaryWriter();
   out.tag(FIELD.zone, WireType.LengthDelimited).string(digest.zone);
@@ -108,10 +108,10 @@
     out.fixed32(hash(profile.id)).uint32(INSTANCE_STATES.indexOf(state));
   }
   out.join();
-  for (const { profile } of introduces ? members : []) {
+  for (const { profile } of includeProfiles ? members : []) {
     writeProfile(out, FIELD.profile, profile);
   }
-  writeSummedReport(out, digest, { fields: FIELD, dictionary: book });
+  writeSummedReport(out, digest, { fields: FIELD, dictionary: dictionary });
   return out.finish();
 }
 
@@ -144,7 +144,7 @@
 
   constructor(resolver: HashResolver) {
     this.#resolver = resolver;
-    this.#report = new ReportDecoder(FIELD, resolver.book);
+    this.#report = new ReportDecoder(FIELD, resolver.dictionary);
   }
 
   finish(): Result<ZoneDigest, Failure> {
--- a/src/fleet/zone_exchange.ts
+++ b/src/fleet/zone_exchange.ts
@@ -12,7 +12,7 @@
 import type { Digest } from "./digest.ts";
 import type { InstanceProfile } from "./instance_profile.ts";
 import type { AgedLimits } from "./limit_rows.ts";
-import type { NameBook } from "./name_book.ts";
+import type { NameDictionary } from "./name_dictionary.ts";
 import type { PeerTable } from "./peer_table.ts";
 import {
   decodeZoneDigest,
@@ -37,7 +37,7 @@
 /** What the exchange works with. */
 export interface ZoneExchangeOptions {
   readonly datagrams: Datagrams;
-  readonly book: NameBook;
+  readonly book: NameDictionary;
   readonly peers: PeerTable;
   readonly zones: ZoneTable;
   /** Passes on a digest that came from its zone itself. */
@@ -57,11 +57,11 @@
     const { datagrams, book, peers } = opts;
     const profileOf = (idHash: number) => peers.profileOf(idHash);
     const decode = (bytes: Uint8Array) =>
-      decodeZoneDigest(bytes, { book, profileOf });
-    datagrams.onRead("zone", decode, (digest, bytes) => {
+      decodeZoneDigest(bytes, { dictionary: book, profileOf });
+    datagrams.onDecoded("zone", decode, (digest, bytes) => {
       if (this.#take(digest)) opts.passOn(digest.zone, bytes);
     });
-    datagrams.onRead("zonePassedOn", decode, (digest) => this.#take(digest));
+    datagrams.onDecoded("zonePassedOn", decode, (digest) => this.#take(digest));
   }
 
   /**
@@ -90,7 +90,10 @@
     datagrams.send(
       "zone",
       addresses,
-      encodeZoneDigest(this.#compose(own, zone), { book, introduces }),
+      encodeZoneDigest(this.#compose(own, zone), {
+        dictionary: book,
+        includeProfiles: introduces,
+      }),
     );
   }
 
--- a/src/fleet/zone_relay.ts
+++ b/src/fleet/zone_relay.ts
@@ -30,7 +30,7 @@
 import { GroupSums } from "./group_sums.ts";
 import type { InstanceProfile } from "./instance_profile.ts";
 import { agedLimits, newestLimits, observedLimits } from "./limit_rows.ts";
-import type { NameBook } from "./name_book.ts";
+import type { NameDictionary } from "./name_dictionary.ts";
 import type { Peer, PeerTable } from "./peer_table.ts";
 import type { ZoneExchange, ZoneSums } from "./zone_exchange.ts";
 import type { ZoneTable } from "./zone_table.ts";
@@ -48,7 +48,7 @@
 /** What the relay works with. */
 export interface ZoneRelayOptions {
   readonly datagrams: Datagrams;
-  readonly book: NameBook;
+  readonly book: NameDictionary;
   readonly peers: PeerTable;
   readonly zones: ZoneTable;
   readonly exchange: ZoneExchange;
@@ -100,7 +100,7 @@
 
   /** Keeps another zone's digest for the one that stands by. */
   keep(zone: ZoneId, bytes: Uint8Array): void {
-    this.#forStandby.gather(zone, "zonePassedOn", bytes);
+    this.#forStandby.put(zone, "zonePassedOn", bytes);
   }
 
   /**
@@ -120,7 +120,7 @@
     const { datagrams, book, peers, exchange, clock } = this.#opts;
     const { reservations, standby } = opts;
     const now = clock.now();
-    const zone = this.#zonePeers.with(own);
+    const zone = this.#zonePeers.sumWith(own);
     const zoneLimits = newestLimits([
       observedLimits(own.limits, now),
       ...this.#zonePeers.heard.map(({ limits }) => limits),
@@ -136,7 +136,7 @@
       reserved: sumOfReserved(ofZone),
     });
     const aggregate = this.#compose(own, {
-      ...this.#otherZones.with(zone),
+      ...this.#otherZones.sumWith(zone),
       limits: agedLimits(limits, now),
       reserved: sumOfReserved(reservations),
     });
--- a/src/fleet/zone_table.ts
+++ b/src/fleet/zone_table.ts
@@ -115,6 +115,6 @@
 }
 
 /** Id under which a zone shares rates, as if it were one instance. */
-export function groupOf(zone: ZoneId): InstanceId {
+export function zoneGroupId(zone: ZoneId): InstanceId {
   return `zone ${zone}` as InstanceId;
 }
