--- a/src/decisions/clients/cidr.ts
+++ b/src/decisions/clients/cidr.ts
@@ -14,7 +14,7 @@
 };
 
 /** A block: the used bits of its first address, and its prefix length. */
-export interface Block {
+export interface CidrBlock {
   readonly family: AddressFamily;
   readonly start: number;
   readonly length: number;
@@ -34,7 +34,7 @@
  * parseBlock("203.0.113.0/24"); // { family: "v4", start: 3405803776, length: 24 }
  * ```
  */
-export function parseBlock(text: string): Block | undefined {
+export function parseBlock(text: string): CidrBlock | undefined {
   const slash = text.indexOf("/");
   const address = parseAddress(text.slice(0, slash));
   const digits = text.slice(slash + 1);
--- a/src/decisions/clients/client_map.ts
+++ b/src/decisions/clients/client_site_map.ts
@@ -53,7 +53,7 @@
  * map.siteOf("203.0.113.7");
  * ```
  */
-export class ClientMap {
+export class ClientSiteMap {
   readonly #sections = new Map<string, NumberedBlocks>();
   readonly #siteNumbers = new Map<string, SiteNumber>();
   readonly #siteNames: string[] = [];
--- a/src/decisions/clients/client_map_test.ts
+++ b/src/decisions/clients/client_site_map_test.ts
@@ -1,8 +1,8 @@
 import test from "ava";
 import fc from "fast-check";
 import { type Random, SeededRandom } from "../../core/mod.ts";
-import { type Block, blockSize, FAMILY_BITS, parseBlock } from "./cidr.ts";
-import { ClientMap, type SiteSection } from "./client_map.ts";
+import { blockSize, type CidrBlock, FAMILY_BITS, parseBlock } from "./cidr.ts";
+import { ClientSiteMap, type SiteSection } from "./client_site_map.ts";
 import { packBlocks, type SiteBlock } from "./packed_blocks.ts";
 
 const SEED = 20_261_202;
@@ -10,13 +10,16 @@
 function section(sites: Record<string, string[]>): SiteSection {
   const names = Object.keys(sites);
   const blocks = names.flatMap((name, site) =>
-    (sites[name] ?? []).map((text) => ({ ...parseBlock(text) as Block, site }))
+    (sites[name] ?? []).map((text) => ({
+      ...parseBlock(text) as CidrBlock,
+      site,
+    }))
   );
   return { names, blocks: packBlocks(blocks) };
 }
 
-function mapOf(sections: Record<string, SiteSection>): ClientMap {
-  const map = new ClientMap();
+function mapOf(sections: Record<string, SiteSection>): ClientSiteMap {
+  const map = new ClientSiteMap();
   for (const [name, s] of Object.entries(sections)) map.replace(name, s);
   map.rebuild(Infinity);
   return map;
@@ -78,7 +81,7 @@
   // Only partitions with differences are rebuilt. If a difference were missed,
   // the clients of that block would be sent to their old site indefinitely.
   const random = new SeededRandom(SEED);
-  const changed = new ClientMap();
+  const changed = new ClientSiteMap();
   const current: Record<string, SiteSection> = {};
   for (let step = 0; step < 200; step++) {
     const name = `part-${random.below(3)}`;
--- a/src/decisions/clients/mod.ts
+++ b/src/decisions/clients/mod.ts
@@ -4,6 +4,6 @@
  * @module
  */
 export * from "./cidr.ts";
-export * from "./client_map.ts";
+export * from "./client_site_map.ts";
 export * from "./packed_blocks.ts";
 export * from "./range_table.ts";
--- a/src/decisions/clients/packed_blocks.ts
+++ b/src/decisions/clients/packed_blocks.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import { type AddressFamily, type Block, FAMILY_BITS } from "./cidr.ts";
+import { type AddressFamily, type CidrBlock, FAMILY_BITS } from "./cidr.ts";
 
 /** Blocks of one family, sorted by start, then prefix length. */
 export interface PackedFamily {
@@ -17,7 +17,7 @@
 export type PackedBlocks = Readonly<Record<AddressFamily, PackedFamily>>;
 
 /** A block and the site of its clients. */
-export interface SiteBlock extends Block {
+export interface SiteBlock extends CidrBlock {
   readonly site: number;
 }
 
@@ -40,7 +40,7 @@
 }
 
 /** The order of packed blocks: by start, then prefix length. */
-export function byStart(a: Block, b: Block): number {
+export function byStart(a: CidrBlock, b: CidrBlock): number {
   return a.start - b.start || a.length - b.length;
 }
 
--- a/src/decisions/drains/drained.ts
+++ b/src/decisions/drains/drain_set.ts
@@ -11,7 +11,7 @@
 } from "../../document/mod.ts";
 
 /** The drained endpoints, zones and instances of a document, as sets. */
-export class Drained {
+export class DrainSet {
   readonly #endpoints = new Set<string>();
   readonly #zones = new Set<string>();
   readonly #instances = new Set<string>();
--- a/src/decisions/drains/mod.ts
+++ b/src/decisions/drains/mod.ts
@@ -4,4 +4,4 @@
  * @module
  */
 export * from "./drain_tracker.ts";
-export * from "./drained.ts";
+export * from "./drain_set.ts";
--- a/src/decisions/lookup/entry_chooser.ts
+++ b/src/decisions/lookup/entry_chooser.ts
@@ -99,7 +99,7 @@
   }
 
   /** The zone with its region; undefined if it has no candidate. */
-  placeOf(zone: ZoneId): CallerLocation | undefined {
+  locationOf(zone: ZoneId): CallerLocation | undefined {
     return this.#byZone.get(zone)?.[0];
   }
 
--- a/src/decisions/placement/affinity_placement.ts
+++ b/src/decisions/placement/affinity_placement.ts
@@ -15,7 +15,11 @@
 import type { EndpointRow } from "../../traffic/mod.ts";
 import { EndpointRanking } from "./endpoint_ranking.ts";
 import { occupancy } from "./occupancy.ts";
-import type { Placement, PlacementAsk, PlacementResult } from "./placement.ts";
+import type {
+  Placement,
+  PlacementRequest,
+  PlacementResult,
+} from "./placement.ts";
 
 /**
  * Maximum utilization of a primary by a request's priority, as a multiple of its
@@ -36,7 +40,7 @@
 
   choose(
     endpoints: readonly EndpointRow[],
-    req: PlacementAsk,
+    req: PlacementRequest,
   ): PlacementResult {
     const { affinityKey } = req;
     if (affinityKey === undefined) return leastLoaded(endpoints, req);
@@ -53,14 +57,17 @@
     ) {
       return { endpoint: secondary, why: "overflow" };
     }
-    return { endpoint: undefined, waitMs: (utilization - 1) * req.usualMs };
+    return {
+      endpoint: undefined,
+      waitMs: (utilization - 1) * req.meanLatencyMs,
+    };
   }
 }
 
 /** Selects the least utilized endpoint, if it is below its maximum. */
 export function leastLoaded(
   endpoints: readonly EndpointRow[],
-  req: PlacementAsk,
+  req: PlacementRequest,
 ): PlacementResult {
   const best = leastUtilized(endpoints, req);
   if (best === undefined) return { endpoint: undefined, waitMs: 0 };
@@ -68,12 +75,12 @@
   if (utilization < maxUtilization(req)) {
     return { endpoint: best, why: "least-loaded" };
   }
-  return { endpoint: undefined, waitMs: (utilization - 1) * req.usualMs };
+  return { endpoint: undefined, waitMs: (utilization - 1) * req.meanLatencyMs };
 }
 
 function leastUtilized(
   endpoints: readonly EndpointRow[],
-  req: PlacementAsk,
+  req: PlacementRequest,
 ): EndpointRow | undefined {
   let best: EndpointRow | undefined;
   let lowest = Infinity;
@@ -85,8 +92,8 @@
   return best;
 }
 
-function maxUtilization({ rank }: PlacementAsk): number {
-  return MAX_UTILIZATION[Math.min(rank, MAX_UTILIZATION.length - 1)] ??
+function maxUtilization({ priority: priority }: PlacementRequest): number {
+  return MAX_UTILIZATION[Math.min(priority, MAX_UTILIZATION.length - 1)] ??
     MAX_UTILIZATION[0];
 }
 
--- a/src/decisions/placement/affinity_placement_test.ts
+++ b/src/decisions/placement/affinity_placement_test.ts
@@ -10,10 +10,10 @@
 import { EndpointRow } from "../../traffic/mod.ts";
 import {
   AffinityPlacement,
-  boundDemand,
   EndpointRanking,
   LeastLoadPlacement,
-  NOTHING_BOUND,
+  NOTHING_PINNED,
+  pinnedDemand,
   regionWeights,
 } from "./mod.ts";
 import {
@@ -162,9 +162,9 @@
     affinityKey: "o1",
     region: "riga" as RegionId,
     regions: ["riga" as RegionId],
-    bound: NOTHING_BOUND,
-    rank: 0,
-    usualMs: 200,
+    pinned: NOTHING_PINNED,
+    priority: 0,
+    meanLatencyMs: 200,
     usable: () => true,
   };
   const placement = new AffinityPlacement();
@@ -194,9 +194,9 @@
     targetMs: 400,
     requestsPerS: () => 30,
   } satisfies SimulationOptions;
-  const bound = { region: "west", part: 0.3 };
-  const unaware = simulate({ ...load, pinned: { ...bound, known: false } });
-  const aware = simulate({ ...load, pinned: { ...bound, known: true } });
+  const pinned = { region: "west", part: 0.3 };
+  const unaware = simulate({ ...load, pinned: { ...pinned, known: false } });
+  const aware = simulate({ ...load, pinned: { ...pinned, known: true } });
   const shown = JSON.stringify({ unaware, aware });
   t.true(aware.refused <= unaware.refused / 2, shown);
   t.true(aware.withinTarget >= unaware.withinTarget + 0.05, shown);
@@ -205,8 +205,8 @@
 test("slots needed for pinned demand are not available to other work", (t) => {
   const all = rows({ riga: 2, frankfurt: 8, osaka: 10 });
   const regions = ["riga", "frankfurt", "osaka"] as RegionId[];
-  const weights = (from: string, bound: Record<string, number>) => {
-    const parts = new Map(Object.entries(bound)) as Map<RegionId, number>;
+  const weights = (from: string, pinned: Record<string, number>) => {
+    const parts = new Map(Object.entries(pinned)) as Map<RegionId, number>;
     const of = regionWeights(all, regions, from as RegionId, parts);
     return [...of].map(([r, w]) => [r, Math.round(w * 100)]);
   };
@@ -235,8 +235,8 @@
     account("free", 50, []),
     account("two", 20, ["riga", "osaka"]),
   ];
-  t.deepEqual([...boundDemand(accounts)], [["riga", 0.4], ["osaka", 0.1]]);
-  t.deepEqual([...boundDemand([account("unlimited", 0, ["riga"])])], []);
+  t.deepEqual([...pinnedDemand(accounts)], [["riga", 0.4], ["osaka", 0.1]]);
+  t.deepEqual([...pinnedDemand([account("unlimited", 0, ["riga"])])], []);
 });
 
 test("callers of a region without endpoints get endpoints of other regions", (t) => {
@@ -246,7 +246,7 @@
     affinityKey: "7",
     region: "riga" as RegionId,
     regions,
-    bound: NOTHING_BOUND,
+    pinned: NOTHING_PINNED,
     usable: () => true,
   };
   const { primary, secondary } = new EndpointRanking().rank(only, ask);
@@ -269,7 +269,7 @@
       affinityKey: `o${i}`,
       region: "osaka" as RegionId,
       regions,
-      bound: NOTHING_BOUND,
+      pinned: NOTHING_PINNED,
       usable: () => true,
     };
     const a = ranking.rank(before, ask);
--- a/src/decisions/placement/endpoint_ranking.ts
+++ b/src/decisions/placement/endpoint_ranking.ts
@@ -5,7 +5,7 @@
  */
 import { hash, type RegionId } from "../../core/mod.ts";
 import type { EndpointRow } from "../../traffic/mod.ts";
-import type { BoundDemand } from "./bound_demand.ts";
+import type { PinnedDemand } from "./pinned_demand.ts";
 import { regionWeights } from "./region_weights.ts";
 
 /**
@@ -23,7 +23,7 @@
   /** Regions with callers. */
   readonly regions: readonly RegionId[];
   /** Demand pinned to a region; this request does not belong to it. */
-  readonly bound: BoundDemand;
+  readonly pinned: PinnedDemand;
   readonly usable: (row: EndpointRow) => boolean;
 }
 
@@ -35,7 +35,7 @@
 
 /** Cached weights by caller region, valid for one pinned demand. */
 interface CachedWeights {
-  readonly bound: BoundDemand;
+  readonly pinned: PinnedDemand;
   readonly byRegion: Map<RegionId, Float64Array>;
 }
 
@@ -85,9 +85,9 @@
     endpoints: readonly EndpointRow[],
     req: RankingRequest,
   ): Float64Array {
-    const { bound, region } = req;
+    const { pinned: pinned, region } = req;
     let memo = this.#weights.get(endpoints);
-    if (memo?.bound !== bound) memo = { bound, byRegion: new Map() };
+    if (memo?.pinned !== pinned) memo = { pinned: pinned, byRegion: new Map() };
     this.#weights.set(endpoints, memo);
     const weights = memo.byRegion.get(region) ??
       endpointWeights(endpoints, req);
@@ -101,8 +101,8 @@
   endpoints: readonly EndpointRow[],
   req: RankingRequest,
 ): Float64Array {
-  const { regions, region: from, bound } = req;
-  const regionShares = regionWeights(endpoints, regions, from, bound);
+  const { regions, region: from, pinned: pinned } = req;
+  const regionShares = regionWeights(endpoints, regions, from, pinned);
   const slots = new Map<RegionId, number>();
   for (const { region, record } of endpoints) {
     slots.set(region, (slots.get(region) ?? 0) + record.slots);
--- a/src/decisions/placement/idle_limits.ts
+++ b/src/decisions/placement/idle_timeouts.ts
@@ -35,7 +35,7 @@
 }
 
 /** Idle timeouts of one instance, by endpoint. */
-export class IdleLimits {
+export class IdleTimeouts {
   readonly #timeouts = new WeakMap<EndpointRow, IdleTimeout>();
 
   /** The longest idle time of a connection that is reused, in milliseconds. */
@@ -45,7 +45,7 @@
   }
 
   /** Records the keep-alive timeout that the endpoint advertised. */
-  told(row: EndpointRow, keepAliveMs: number): void {
+  stated(row: EndpointRow, keepAliveMs: number): void {
     const advertisedLimitMs = Math.min(
       MAX_IDLE_MS,
       keepAliveMs - CLOSE_MARGIN_MS,
@@ -61,7 +61,7 @@
   }
 
   /** Records that an idle connection served a request. */
-  used(row: EndpointRow): void {
+  reused(row: EndpointRow): void {
     const timeout = this.#timeoutOf(row);
     timeout.learnedMs = Math.min(MAX_IDLE_MS, timeout.learnedMs * REUSE_FACTOR);
   }
--- a/src/decisions/placement/least_load_placement.ts
+++ b/src/decisions/placement/least_load_placement.ts
@@ -5,13 +5,17 @@
  */
 import type { EndpointRow } from "../../traffic/mod.ts";
 import { leastLoaded } from "./affinity_placement.ts";
-import type { Placement, PlacementAsk, PlacementResult } from "./placement.ts";
+import type {
+  Placement,
+  PlacementRequest,
+  PlacementResult,
+} from "./placement.ts";
 
 /** Baseline to compare {@link AffinityPlacement} with. */
 export class LeastLoadPlacement implements Placement {
   choose(
     endpoints: readonly EndpointRow[],
-    req: PlacementAsk,
+    req: PlacementRequest,
   ): PlacementResult {
     return leastLoaded(endpoints, req);
   }
--- a/src/decisions/placement/bound_demand.ts
+++ b/src/decisions/placement/pinned_demand.ts
@@ -16,10 +16,10 @@
 import type { Account } from "../../traffic/mod.ts";
 
 /** Share of all demand that is pinned to each region; zero if missing. */
-export type BoundDemand = ReadonlyMap<RegionId, number>;
+export type PinnedDemand = ReadonlyMap<RegionId, number>;
 
 /** No account is pinned to a region. */
-export const NOTHING_BOUND: BoundDemand = new Map();
+export const NOTHING_PINNED: PinnedDemand = new Map();
 
 /**
  * Computes each region's pinned share of the rates of all accounts. The rate of
@@ -30,7 +30,7 @@
  * boundDemand(plan.accounts).get("eu"); // 0.3: 30% of the sum of all rates
  * ```
  */
-export function boundDemand(accounts: readonly Account[]): BoundDemand {
+export function pinnedDemand(accounts: readonly Account[]): PinnedDemand {
   let total = 0;
   const pinned = new Map<RegionId, number>();
   for (const { ratePerS, allowedRegions } of accounts) {
@@ -41,5 +41,5 @@
     }
   }
   for (const [region, rate] of pinned) pinned.set(region, rate / total);
-  return total > 0 ? pinned : NOTHING_BOUND;
+  return total > 0 ? pinned : NOTHING_PINNED;
 }
--- a/src/decisions/placement/placement.ts
+++ b/src/decisions/placement/placement.ts
@@ -5,10 +5,10 @@
  */
 import type { RegionId } from "../../core/mod.ts";
 import type { EndpointRow } from "../../traffic/mod.ts";
-import type { BoundDemand } from "./bound_demand.ts";
+import type { PinnedDemand } from "./pinned_demand.ts";
 
 /** The properties of a request that placement uses. */
-export interface PlacementAsk {
+export interface PlacementRequest {
   /** Requests with the same key concern the same object. */
   readonly affinityKey: string | undefined;
   /** The caller's region, which is preferred where all else is equal. */
@@ -16,11 +16,11 @@
   /** Regions with callers. */
   readonly regions: readonly RegionId[];
   /** Demand pinned to a region; this request does not belong to it. */
-  readonly bound: BoundDemand;
+  readonly pinned: PinnedDemand;
   /** 0 is the most urgent. */
-  readonly rank: number;
+  readonly priority: number;
   /** Mean latency of the service's requests, in milliseconds. */
-  readonly usualMs: number;
+  readonly meanLatencyMs: number;
   /**
    * Whether an endpoint can be used now. Unusable endpoints stay in the hashing,
    * so that a failure moves only the keys of the endpoint that failed.
@@ -30,12 +30,12 @@
 
 /** Result of a placement. */
 export type PlacementResult =
-  | { readonly endpoint: EndpointRow; readonly why: PlacedBy }
+  | { readonly endpoint: EndpointRow; readonly why: PlacementReason }
   /** No endpoint can take the request in time. */
   | { readonly endpoint: undefined; readonly waitMs: number };
 
 /** Why an endpoint was chosen. */
-export type PlacedBy = "primary" | "queue" | "overflow" | "least-loaded";
+export type PlacementReason = "primary" | "queue" | "overflow" | "least-loaded";
 
 /**
  * Selects among a service's known endpoints, without network or clock access.
@@ -43,5 +43,8 @@
  * may be cached by its identity.
  */
 export interface Placement {
-  choose(endpoints: readonly EndpointRow[], req: PlacementAsk): PlacementResult;
+  choose(
+    endpoints: readonly EndpointRow[],
+    req: PlacementRequest,
+  ): PlacementResult;
 }
--- a/src/decisions/placement/region_weights.ts
+++ b/src/decisions/placement/region_weights.ts
@@ -14,7 +14,7 @@
  */
 import type { RegionId } from "../../core/mod.ts";
 import type { EndpointRow } from "../../traffic/mod.ts";
-import { type BoundDemand, NOTHING_BOUND } from "./bound_demand.ts";
+import { NOTHING_PINNED, type PinnedDemand } from "./pinned_demand.ts";
 
 /** Shares of one region's work by the region that serves it; they sum to one. */
 export type RegionWeights = ReadonlyMap<RegionId, number>;
@@ -35,7 +35,7 @@
   rows: readonly EndpointRow[],
   regions: readonly RegionId[],
   from: RegionId,
-  pinned: BoundDemand = NOTHING_BOUND,
+  pinned: PinnedDemand = NOTHING_PINNED,
 ): RegionWeights {
   const shares = freeShares(slotShares(rows), pinned);
   const demand = 1 / Math.max(1, regions.length);
@@ -61,7 +61,7 @@
 /** Each region's share of the slots left by pinned demand, summing to one. */
 function freeShares(
   shares: ReadonlyMap<RegionId, number>,
-  pinned: BoundDemand,
+  pinned: PinnedDemand,
 ): ReadonlyMap<RegionId, number> {
   const free = new Map<RegionId, number>();
   let sum = 0;
--- a/src/decisions/placement/retry_after_policy.ts
+++ b/src/decisions/placement/retry_after_policy.ts
@@ -20,14 +20,14 @@
 const MS_PER_S = 1_000;
 
 /** A service's capacity and how fast it becomes free. */
-export interface RoomOutlook {
+export interface CapacityOutlook {
   readonly service: ServiceId;
   /** Total slots of the service's endpoints. */
   readonly slots: number;
   /** Instances that send Retry-After. */
   readonly instances: number;
   /** Mean latency of the service's requests, in milliseconds. */
-  readonly usualMs: number;
+  readonly meanLatencyMs: number;
   /** Requests per second that rate limits allow; infinite without limits. */
   readonly limitPerS: number;
 }
@@ -37,10 +37,16 @@
   readonly #schedules = new Map<ServiceId, ReturnSchedule>();
 
   /** Delay for a request that found all endpoints full, in milliseconds. */
-  whenFull(outlook: RoomOutlook, waitMs: number, now: number): number {
-    const { service, slots, instances, usualMs, limitPerS } = outlook;
+  whenFull(outlook: CapacityOutlook, waitMs: number, now: number): number {
+    const {
+      service,
+      slots,
+      instances,
+      meanLatencyMs: meanLatencyMs,
+      limitPerS,
+    } = outlook;
     const intervalMs = instances *
-      Math.max(usualMs / Math.max(1, slots), MS_PER_S / limitPerS);
+      Math.max(meanLatencyMs / Math.max(1, slots), MS_PER_S / limitPerS);
     return this.#scheduleOf(service).next(
       now,
       Math.max(MIN_RETRY_AFTER_MS, waitMs),
@@ -49,10 +55,14 @@
   }
 
   /** Delay for a request that an endpoint shed, in milliseconds. */
-  whenShed(row: EndpointRow, outlook: RoomOutlook, now: number): number {
+  whenShed(row: EndpointRow, outlook: CapacityOutlook, now: number): number {
     const utilization = occupancy(row) / Math.max(1, row.record.slots);
     if (utilization < 1) return MIN_RETRY_AFTER_MS;
-    return this.whenFull(outlook, (utilization - 1) * outlook.usualMs, now);
+    return this.whenFull(
+      outlook,
+      (utilization - 1) * outlook.meanLatencyMs,
+      now,
+    );
   }
 
   #scheduleOf(service: ServiceId): ReturnSchedule {
--- a/src/decisions/placement/testing/placement_simulation.ts
+++ b/src/decisions/placement/testing/placement_simulation.ts
@@ -14,7 +14,7 @@
   type ZoneId,
 } from "../../../core/mod.ts";
 import { EndpointRow } from "../../../traffic/mod.ts";
-import { type BoundDemand, NOTHING_BOUND } from "../bound_demand.ts";
+import { NOTHING_PINNED, type PinnedDemand } from "../pinned_demand.ts";
 import type { Placement } from "../placement.ts";
 
 /** Parameters of a simulation. */
@@ -142,14 +142,14 @@
   #runs = 0;
   #cacheMisses = 0;
   /** The pinned demand passed to placement. */
-  readonly #pinned: BoundDemand;
+  readonly #pinned: PinnedDemand;
 
   constructor(opts: SimulationOptions) {
     this.#opts = opts;
     const { pinned } = opts;
     this.#pinned = pinned?.known
       ? new Map([[pinned.region as RegionId, pinned.part]])
-      : NOTHING_BOUND;
+      : NOTHING_PINNED;
     this.#random = new SeededRandom(opts.seed ?? 1);
     for (const [region, count] of Object.entries(opts.endpoints)) {
       for (let i = 0; i < count; i++) {
@@ -259,10 +259,10 @@
       affinityKey: object,
       region: region as RegionId,
       regions: Object.keys(this.#opts.endpoints) as RegionId[],
-      bound: isPinned ? NOTHING_BOUND : this.#pinned,
+      pinned: isPinned ? NOTHING_PINNED : this.#pinned,
       usable: () => true,
-      usualMs: instance.meanLatencyMs,
-      rank: 2,
+      meanLatencyMs: instance.meanLatencyMs,
+      priority: 2,
     });
     if (placed.endpoint === undefined) {
       const waitMs = Math.max(MIN_RETRY_MS, placed.waitMs);
--- a/src/decisions/placement/weighted_choice.ts
+++ b/src/decisions/placement/weighted_round_robin.ts
@@ -12,7 +12,7 @@
  * the highest credit, whose service is selected. Random selection would deviate
  * by several percent over the few hundred requests in which operators check it.
  */
-export class WeightedChoice {
+export class WeightedRoundRobin {
   readonly #credits = new Map<string, Map<ServiceId, number>>();
 
   /**
--- a/src/decisions/regions/region_dispatcher.ts
+++ b/src/decisions/regions/region_dispatcher.ts
@@ -22,7 +22,7 @@
   type ZoneId,
 } from "../../core/mod.ts";
 import type { SteeringDocument } from "../../document/mod.ts";
-import { Drained } from "../drains/mod.ts";
+import { DrainSet } from "../drains/mod.ts";
 import {
   type Dispatcher,
   type FairDispatcher,
@@ -70,7 +70,7 @@
   readonly #demand = new RemoteDemand();
   readonly #pending = new Set<PendingRequest>();
   #services: readonly ServiceId[] = [];
-  #drained: Drained | undefined;
+  #drained: DrainSet | undefined;
 
   constructor(deps: RegionDispatcherDeps) {
     this.#deps = deps;
@@ -79,7 +79,7 @@
   adopt(document: SteeringDocument, now: number): void {
     this.#deps.links.adopt(document, now);
     this.#services = Object.keys(document.services) as ServiceId[];
-    this.#drained = new Drained(document);
+    this.#drained = new DrainSet(document);
     this.#deps.local.adopt(document, now);
     this.tick(now);
   }
--- a/src/decisions/starting/start_gate.ts
+++ b/src/decisions/starting/start_gate.ts
@@ -63,7 +63,7 @@
    * if (!gate.isOpen) await gate.pass({ clientTimeoutMs: 2_000, signal });
    * ```
    */
-  pass({ clientTimeoutMs, signal }: EarlyRequest): Promise<void> {
+  wait({ clientTimeoutMs, signal }: EarlyRequest): Promise<void> {
     const full = this.#waiting.size >= MAX_WAITING;
     if (this.#isOpen || full || signal.aborted) return Promise.resolve();
     return new Promise((resolve) => {
--- a/src/decisions/starting/start_gate_test.ts
+++ b/src/decisions/starting/start_gate_test.ts
@@ -10,7 +10,7 @@
 ) {
   const waiter = { passed: false };
   const signal = callerSignal ?? new AbortController().signal;
-  void gate.pass({ clientTimeoutMs, signal }).then(() => waiter.passed = true);
+  void gate.wait({ clientTimeoutMs, signal }).then(() => waiter.passed = true);
   return waiter;
 }
 
--- a/src/decisions/steering/fair_dispatcher.ts
+++ b/src/decisions/steering/fair_dispatcher.ts
@@ -21,7 +21,7 @@
   type Service,
   type SteeringDocument,
 } from "../../document/mod.ts";
-import { Drained } from "../drains/mod.ts";
+import { DrainSet } from "../drains/mod.ts";
 import type { Dispatcher, Slot, SteeringRequest } from "./dispatcher.ts";
 import {
   type EndpointRow,
@@ -72,7 +72,7 @@
   adopt(document: SteeringDocument, now: number): void {
     this.#deps.limits.adopt(document, now);
     this.#document = document;
-    const drained = new Drained(document);
+    const drained = new DrainSet(document);
     const previous = this.#rows;
     this.#rows = new Map();
     for (const [id, service] of Object.entries(document.services)) {
@@ -144,7 +144,7 @@
     id: ServiceId,
     service: Service,
     { drained, previous, now }: {
-      drained: Drained;
+      drained: DrainSet;
       previous: ReadonlyMap<EndpointId, EndpointRow>;
       now: number;
     },
--- a/src/document/site_blocks.ts
+++ b/src/document/site_blocks.ts
@@ -6,7 +6,7 @@
  */
 import type { ZoneId } from "../core/mod.ts";
 import {
-  type Block,
+  type CidrBlock,
   packBlocks,
   parseBlock,
   type SiteBlock,
@@ -36,7 +36,7 @@
   for (const [index, [id, site]] of Object.entries(section.sites).entries()) {
     sites[id] = { zones: site.zones };
     for (const text of site.blocks) {
-      blocks.push({ ...parseBlock(text) as Block, site: index });
+      blocks.push({ ...parseBlock(text) as CidrBlock, site: index });
     }
   }
   return {
--- a/src/edge/admission.ts
+++ b/src/edge/admission.ts
@@ -5,7 +5,7 @@
  */
 import { err, ok, type Result } from "neverthrow";
 import { type Clock, fail, type Failure, failure } from "../core/mod.ts";
-import { WeightedChoice } from "../decisions/placement/mod.ts";
+import { WeightedRoundRobin } from "../decisions/placement/mod.ts";
 import type { AccountQuotas } from "../decisions/quotas/mod.ts";
 import type { Account, Route, RouteTable } from "../traffic/mod.ts";
 import { homeRegions } from "./home_regions.ts";
@@ -27,7 +27,7 @@
   readonly #state: TrafficState;
   readonly #quotas: AccountQuotas;
   readonly #clock: Clock;
-  readonly #weights = new WeightedChoice();
+  readonly #weights = new WeightedRoundRobin();
 
   constructor(state: TrafficState, quotas: AccountQuotas, clock: Clock) {
     this.#state = state;
--- a/src/edge/endpoint_chooser.ts
+++ b/src/edge/endpoint_chooser.ts
@@ -12,15 +12,15 @@
   type ServiceId,
 } from "../core/mod.ts";
 import {
+  type CapacityOutlook,
   type ColdRate,
   LatencyEstimator,
-  NOTHING_BOUND,
+  NOTHING_PINNED,
   OutlierDetector,
-  type PlacedBy,
   type Placement,
-  type PlacementAsk,
+  type PlacementReason,
+  type PlacementRequest,
   RetryAfterPolicy,
-  type RoomOutlook,
   SlowStartLimiter,
 } from "../decisions/placement/mod.ts";
 import type { EndpointRow, ServicePolicy } from "../traffic/mod.ts";
@@ -46,7 +46,7 @@
 
 /** An endpoint and why it was selected, or why there is none. */
 type Selection =
-  | { readonly endpoint: EndpointRow; readonly why: PlacedBy }
+  | { readonly endpoint: EndpointRow; readonly why: PlacementReason }
   | {
     readonly endpoint: undefined;
     readonly waitMs: number;
@@ -81,13 +81,13 @@
       });
     }
     const ejectionLimited = this.#outliers.ejectionLimitReached(endpoints, now);
-    const ask: PlacementAsk = {
+    const ask: PlacementRequest = {
       affinityKey: route.affinity ? req.fields.affinityKey : undefined,
       region,
       regions,
-      bound: ctx.regions === undefined ? state.bound : NOTHING_BOUND,
-      rank: account?.priority ?? route.priority,
-      usualMs: this.#latency.of(service),
+      pinned: ctx.regions === undefined ? state.bound : NOTHING_PINNED,
+      priority: account?.priority ?? route.priority,
+      meanLatencyMs: this.#latency.of(service),
       usable: (row) =>
         !tried.has(row) && this.#bearsOne(row, now) &&
         (ejectionLimited || !this.#outliers.isEjected(row, now)),
@@ -110,11 +110,11 @@
    */
   #withinLimits(
     endpoints: readonly EndpointRow[],
-    ask: PlacementAsk,
+    ask: PlacementRequest,
     now: number,
   ): Selection {
     const { placement, limits } = this.#opts;
-    const { rank } = ask;
+    const { priority: rank } = ask;
     const first = placement.choose(endpoints, ask);
     if (first.endpoint === undefined) return { ...first, why: NO_ROOM };
     if (limits.take(first.endpoint, rank, now)) return first;
@@ -210,7 +210,7 @@
   #outlook(
     service: ServiceId,
     endpoints: readonly EndpointRow[],
-  ): RoomOutlook {
+  ): CapacityOutlook {
     let slots = 0;
     let limitPerS = 0;
     for (const { id, record } of endpoints) {
@@ -219,7 +219,7 @@
     }
     const usualMs = this.#latency.of(service);
     const instances = this.#opts.fleetSize();
-    return { service, slots, usualMs, instances, limitPerS };
+    return { service, slots, meanLatencyMs: usualMs, instances, limitPerS };
   }
 
   /** Whether an endpoint that may be cold bears one request more. */
--- a/src/edge/http_endpoint_sender.ts
+++ b/src/edge/http_endpoint_sender.ts
@@ -9,7 +9,7 @@
  */
 import { type ClientRequest, request } from "node:http";
 import type { Clock } from "../core/mod.ts";
-import { IdleLimits } from "../decisions/placement/mod.ts";
+import { IdleTimeouts } from "../decisions/placement/mod.ts";
 import { splitAddress } from "../fleet/mod.ts";
 import type { EndpointRow } from "../traffic/mod.ts";
 import { EndpointConnections } from "./endpoint_connections.ts";
@@ -30,7 +30,7 @@
   readonly #codec: RequestCodec;
   readonly #clock: Clock;
   readonly #connections: EndpointConnections;
-  readonly #limits = new IdleLimits();
+  readonly #limits = new IdleTimeouts();
 
   constructor(codec: RequestCodec, clock: Clock) {
     this.#codec = codec;
@@ -88,8 +88,8 @@
   ): void {
     if (result.kind === "answer") {
       const { keepAliveMs } = result.fields;
-      if (keepAliveMs !== undefined) this.#limits.told(endpoint, keepAliveMs);
-      if (restedMs !== undefined) this.#limits.used(endpoint);
+      if (keepAliveMs !== undefined) this.#limits.stated(endpoint, keepAliveMs);
+      if (restedMs !== undefined) this.#limits.reused(endpoint);
       return;
     }
     const broke = result.kind === "unknown" && result.reason === "broken";
--- a/src/edge/request_flow.ts
+++ b/src/edge/request_flow.ts
@@ -61,7 +61,7 @@
   async handle(req: CallerRequest): Promise<FlowAnswer> {
     const { gate, admission, retries, clock } = this.#opts;
     if (!gate.isOpen) {
-      await gate.pass({
+      await gate.wait({
         clientTimeoutMs: clientTimeoutOf(req),
         signal: req.signal,
       });
--- a/src/edge/traffic_state.ts
+++ b/src/edge/traffic_state.ts
@@ -10,9 +10,9 @@
   type ZoneId,
 } from "../core/mod.ts";
 import {
-  type BoundDemand,
-  boundDemand,
-  NOTHING_BOUND,
+  NOTHING_PINNED,
+  type PinnedDemand,
+  pinnedDemand,
 } from "../decisions/placement/mod.ts";
 import {
   type EndpointRow,
@@ -33,7 +33,7 @@
 export class TrafficState {
   readonly endpoints: EndpointTable;
   #table: RouteTable | undefined;
-  #bound = NOTHING_BOUND;
+  #bound = NOTHING_PINNED;
   readonly #evacuated = new Set<ZoneId>();
   /** Answers of `eligible`, until an endpoint or a zone changes. */
   readonly #eligible = new Map<string, readonly EndpointRow[]>();
@@ -53,7 +53,7 @@
   }
 
   /** Work that the plan binds to one region. */
-  get bound(): BoundDemand {
+  get bound(): PinnedDemand {
     return this.#bound;
   }
 
@@ -70,7 +70,7 @@
       return false;
     }
     this.#table = new RouteTable(plan);
-    this.#bound = boundDemand(plan.accounts);
+    this.#bound = pinnedDemand(plan.accounts);
     return true;
   }
 
--- a/src/instance/client_sites.ts
+++ b/src/instance/client_sites.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type { ZoneId } from "../core/mod.ts";
-import { ClientMap, type SiteSection } from "../decisions/clients/mod.ts";
+import { ClientSiteMap, type SiteSection } from "../decisions/clients/mod.ts";
 import type { SteeringDocument } from "../document/mod.ts";
 import type { System } from "./tick_loop.ts";
 
@@ -19,7 +19,7 @@
 /** Zones by client address; a changed section takes effect over some ticks. */
 export class ClientSites implements System {
   readonly name = "sites";
-  readonly #map = new ClientMap();
+  readonly #map = new ClientSiteMap();
   readonly #held = new Map<string, SiteSection>();
   #sites: SteeringDocument["sites"] = {};
 
--- a/src/instance/entry_lookup.ts
+++ b/src/instance/entry_lookup.ts
@@ -41,7 +41,7 @@
     const { entries } = steering;
     this.#prepare();
     const near = sites.zonesFor(client)
-      .map((zone) => entries.placeOf(zone))
+      .map((zone) => entries.locationOf(zone))
       .find((place) => place !== undefined);
     const instances = entries.choose(near ?? own()).map(
       ({ instance, url, zone, region }) => {
--- a/src/instance/steering.ts
+++ b/src/instance/steering.ts
@@ -17,7 +17,7 @@
   RegionDispatcher,
   RemoteRooms,
 } from "../decisions/regions/mod.ts";
-import { Drained, DrainTracker } from "../decisions/drains/mod.ts";
+import { DrainSet, DrainTracker } from "../decisions/drains/mod.ts";
 import { type EntryChoice, EntryChooser } from "../decisions/lookup/mod.ts";
 import { RetryPolicy } from "../decisions/retries/mod.ts";
 import {
@@ -67,7 +67,7 @@
   readonly entries: EntryChooser;
   readonly drains: DrainTracker;
   readonly #rooms = new RemoteRooms();
-  #drained: Drained | undefined;
+  #drained: DrainSet | undefined;
 
   constructor(deps: SteeringDeps) {
     this.#deps = deps;
@@ -133,7 +133,7 @@
   }
 
   adopt(document: SteeringDocument, now: number): void {
-    this.#drained = new Drained(document);
+    this.#drained = new DrainSet(document);
     this.dispatcher.adopt(document, now);
     this.drains.adopt(document, now);
     this.retries.retain(new Set(Object.keys(document.services)));
--- a/tools/bench/lookup.ts
+++ b/tools/bench/lookup.ts
@@ -9,7 +9,7 @@
 import { type Random, SeededRandom } from "../../src/core/mod.ts";
 import {
   blockSize,
-  ClientMap,
+  ClientSiteMap,
   packBlocks,
   type SiteBlock,
   type SiteSection,
@@ -53,7 +53,7 @@
 function measure(count: number): Row {
   const sections = makeSections(count, new SeededRandom(SEED));
   const before = heldBytes();
-  const map = new ClientMap();
+  const map = new ClientSiteMap();
   for (const [name, s] of sections) map.replace(name, s);
   const buildMs = timed(() => map.rebuild(Infinity));
   const mb = (heldBytes() - before + packedBytes(sections)) / 1e6;
@@ -72,7 +72,7 @@
 }
 
 /** Some blocks of a section go to another site, a few parts at a time as in an instance. */
-function changeOne(map: ClientMap, sections: Map<string, SiteSection>) {
+function changeOne(map: ClientSiteMap, sections: Map<string, SiteSection>) {
   const [name, section] = [...sections][0] as [string, SiteSection];
   const sites = section.blocks.v4.sites.slice();
   for (let i = 0; i < CHANGED_BLOCKS; i++) {
