--- a/src/decisions/regions/headroom_grants.ts
+++ b/src/decisions/regions/capacity_grants.ts
@@ -23,11 +23,11 @@
 const GRANT_TTL_MS = 3_000;
 
 /** Grants of one instance, by service and requester. */
-export class HeadroomGrants {
+export class CapacityGrants {
   readonly #requesters = new Map<ServiceId, Map<InstanceId, Requester>>();
 
   /** Records how many requests an instance wants to run here. */
-  ask(
+  request(
     from: { instance: InstanceId; service: ServiceId },
     wanted: number,
     now: number,
@@ -82,7 +82,7 @@
   }
 
   /** Services for which the instance has a current request or grant. */
-  servicesOf(instance: InstanceId, now: number): ServiceId[] {
+  servicesRequestedBy(instance: InstanceId, now: number): ServiceId[] {
     return [...this.#requesters].filter(([, requesters]) => {
       const requester = requesters.get(instance);
       return requester !== undefined &&
--- a/src/decisions/regions/forwarded_intake.ts
+++ b/src/decisions/regions/forwarded_admission.ts
@@ -17,13 +17,13 @@
 } from "../../core/mod.ts";
 import type { SteeringDocument } from "../../document/mod.ts";
 import type { FairDispatcher, Slot, SteeringRequest } from "../steering/mod.ts";
-import type { HeadroomGrants } from "./headroom_grants.ts";
+import type { CapacityGrants } from "./capacity_grants.ts";
 import type { LinkBudgets } from "./link_budgets.ts";
 
-export interface ForwardedIntakeDeps {
+export interface ForwardedAdmissionDeps {
   readonly region: RegionId;
   readonly local: FairDispatcher;
-  readonly grants: HeadroomGrants;
+  readonly grants: CapacityGrants;
   readonly links: LinkBudgets;
   readonly document: () => SteeringDocument;
   /** Whether this instance accepts no more forwarded requests. */
@@ -31,7 +31,7 @@
 }
 
 /** The instance that forwarded a request. */
-export interface Forwarder {
+export interface ForwardingInstance {
   readonly instance: InstanceId;
   readonly region: RegionId;
 }
@@ -39,11 +39,11 @@
 const DEFAULT_HEADROOM = 0.2;
 
 /** Admits forwarded requests within the grants and the free capacity. */
-export class ForwardedIntake {
-  readonly #deps: ForwardedIntakeDeps;
+export class ForwardedAdmission {
+  readonly #deps: ForwardedAdmissionDeps;
   readonly #inFlight = new Map<ServiceId, Map<InstanceId, number>>();
 
-  constructor(deps: ForwardedIntakeDeps) {
+  constructor(deps: ForwardedAdmissionDeps) {
     this.#deps = deps;
   }
 
@@ -51,32 +51,32 @@
    * Forwarded requests that may run here at once: the slots without the
    * headroom, less the requests of own callers in flight and queued.
    */
-  shareable(service: ServiceId, now: number): number {
+  forwardedCapacity(service: ServiceId, now: number): number {
     const { local, closed, document, region } = this.#deps;
     const load = local.loadOf(service, now);
     if (load === undefined || closed()) return 0;
     const headroom = document().regions[region]?.headroom ?? DEFAULT_HEADROOM;
-    const ownInFlight = load.inFlight - this.running(service);
+    const ownInFlight = load.inFlight - this.inFlight(service);
     const usable = Math.floor(load.capacity * (1 - headroom));
     return Math.max(0, usable - ownInFlight - load.waiting);
   }
 
   /** Forwarded requests of one service in flight here. */
-  running(service: ServiceId): number {
+  inFlight(service: ServiceId): number {
     const byInstance = this.#inFlight.get(service)?.values() ?? [];
     return [...byInstance].reduce((n, r) => n + r, 0);
   }
 
   /** Forwarded requests of all services in flight here. */
-  get runningInAll(): number {
+  get totalInFlight(): number {
     const services = [...this.#inFlight.keys()];
-    return services.reduce((n, service) => n + this.running(service), 0);
+    return services.reduce((n, service) => n + this.inFlight(service), 0);
   }
 
   /** Reserves a slot without waiting, or refuses with outcome `not-run`. */
-  take(
+  admit(
     req: SteeringRequest,
-    from: Forwarder,
+    from: ForwardingInstance,
     now: number,
   ): Result<Slot, Failure> {
     const { local, grants, links, region } = this.#deps;
@@ -84,8 +84,8 @@
     const active = this.#inFlight.get(service)?.get(from.instance) ?? 0;
     const granted = grants.granted({ instance: from.instance, service }, now);
     const linkFree = from.region === region ||
-      links.hasRoom(from.region, now);
-    const fits = this.running(service) < this.shareable(service, now);
+      links.canSend(from.region, now);
+    const fits = this.inFlight(service) < this.forwardedCapacity(service, now);
     if (!linkFree || !fits || active >= Math.max(1, granted)) return refuse();
     const slot = local.tryAcquire(req, now);
     return slot ? ok(this.#count(slot, service, from.instance)) : refuse();
--- a/src/decisions/regions/link_budgets.ts
+++ b/src/decisions/regions/link_budgets.ts
@@ -59,7 +59,7 @@
   }
 
   /** Whether new requests may use the link; true for one without a cap. */
-  hasRoom(to: RegionId, now: number): boolean {
+  canSend(to: RegionId, now: number): boolean {
     const link = this.#links.get(to);
     if (link === undefined) return true;
     this.#resize(link, now);
--- a/src/decisions/regions/region_dispatcher.ts
+++ b/src/decisions/regions/region_dispatcher.ts
@@ -32,10 +32,10 @@
 } from "../steering/mod.ts";
 import type { LinkBudgets } from "./link_budgets.ts";
 import {
+  type RemoteCapacityTable,
   remoteEndpointId,
   type RemotePeer,
-  type RemoteRooms,
-} from "./remote_rooms.ts";
+} from "./remote_capacity_table.ts";
 import { RemoteDemand } from "./remote_demand.ts";
 
 export interface RegionDispatcherDeps {
@@ -44,7 +44,7 @@
   readonly zone: ZoneId;
   readonly region: RegionId;
   readonly local: FairDispatcher;
-  readonly rooms: RemoteRooms;
+  readonly remoteCapacity: RemoteCapacityTable;
   readonly links: LinkBudgets;
 }
 
@@ -85,7 +85,7 @@
   }
 
   tick(now: number): void {
-    const { local, rooms } = this.#deps;
+    const { local, remoteCapacity: rooms } = this.#deps;
     local.tick(now);
     for (const service of this.#services) {
       const load = local.loadOf(service, now);
@@ -165,11 +165,11 @@
     now: number,
     tier: (peer: RemotePeer) => boolean,
   ): Slot | undefined {
-    const { rooms, random, links, region } = this.#deps;
+    const { remoteCapacity: rooms, random, links, region } = this.#deps;
     const { service, exclude } = req;
     const accept = (peer: RemotePeer) =>
       tier(peer) && !this.#isDrained(peer) &&
-      (peer.region === region || links.hasRoom(peer.region, now));
+      (peer.region === region || links.canSend(peer.region, now));
     const row = rooms.choose({ service, exclude, now, accept }, random);
     if (row === undefined) return undefined;
     rooms.take(service, row, now);
@@ -208,7 +208,7 @@
    */
   #mayWaitForGrant(service: ServiceId, now: number): boolean {
     if (this.#pending.size >= MAX_PENDING) return false;
-    const { rooms } = this.#deps;
+    const { remoteCapacity: rooms } = this.#deps;
     if (!rooms.hasFreshGrant(service, now)) return true;
     const waiting = [...this.#pending].filter((p) => p.req.service === service);
     return waiting.length < rooms.totalAllowed(service, now);
--- a/src/decisions/regions/regions_test.ts
+++ b/src/decisions/regions/regions_test.ts
@@ -8,9 +8,9 @@
   type ZoneId,
 } from "../../core/mod.ts";
 import { parseDocument } from "../../document/mod.ts";
-import { HeadroomGrants } from "./headroom_grants.ts";
+import { CapacityGrants } from "./capacity_grants.ts";
 import { LinkBudgets } from "./link_budgets.ts";
-import { RemoteRooms, staleFactor } from "./remote_rooms.ts";
+import { RemoteCapacityTable, staleFactor } from "./remote_capacity_table.ts";
 
 const SERVICE = "s" as ServiceId;
 
@@ -43,8 +43,8 @@
 
 for (const { name, wants, capacity, granted } of SHARES) {
   test(`capacity is divided over its requesters: ${name}`, (t) => {
-    const grants = new HeadroomGrants();
-    wants.forEach((wanted, i) => grants.ask(requester(i), wanted, 0));
+    const grants = new CapacityGrants();
+    wants.forEach((wanted, i) => grants.request(requester(i), wanted, 0));
     t.deepEqual(wants.map((_w, i) => grants.grant(requester(i), capacity, 0)), [
       ...granted,
     ]);
@@ -63,11 +63,11 @@
     fc.array(step, { maxLength: 40 }),
     fc.integer({ min: 0, max: 12 }),
     (steps, capacity) => {
-      const grants = new HeadroomGrants();
+      const grants = new CapacityGrants();
       let now = 0;
       for (const { index, wanted, elapsedMs } of steps) {
         now += elapsedMs;
-        grants.ask(requester(index), wanted, now);
+        grants.request(requester(index), wanted, now);
         grants.grant(requester(index), capacity, now);
         grants.tick(now);
         const sum = [0, 1, 2, 3]
@@ -82,14 +82,14 @@
 });
 
 function setupTable(granted: number) {
-  const table = new RemoteRooms();
+  const table = new RemoteCapacityTable();
   const peer = {
     instance: "i1" as InstanceId,
     zone: "z2" as ZoneId,
     region: "r2" as RegionId,
     peerUrl: "http://127.0.0.1:1",
   };
-  table.tell(SERVICE, peer, { granted, now: 0 });
+  table.update(SERVICE, peer, { granted, now: 0 });
   const random = new SeededRandom(3);
   const choose = (now: number) =>
     table.choose(
@@ -108,7 +108,7 @@
   }
   t.is(running.length, 10);
   for (let now = 500; now <= 3_000; now += 500) {
-    table.tell(SERVICE, peer, { granted: 20, now });
+    table.update(SERVICE, peer, { granted: 20, now });
     const remote = running[0]!;
     table.release(remote, "fine", now);
     table.take(SERVICE, remote, now);
@@ -133,7 +133,7 @@
   table.take(SERVICE, remote, 0);
   table.release(remote, "full", 0);
   t.is(choose(0), undefined);
-  table.tell(SERVICE, peer, { granted: 8, now: 100 });
+  table.update(SERVICE, peer, { granted: 8, now: 100 });
   t.truthy(choose(100));
 });
 
@@ -171,6 +171,6 @@
 
 test("an instance without a seat sends nothing over a link", (t) => {
   const [budgets] = links([0]);
-  t.false(budgets!.hasRoom("r2" as RegionId, 1_000));
+  t.false(budgets!.canSend("r2" as RegionId, 1_000));
   t.true(budgets!.spend("r2" as RegionId, 1, 1_000) > 0);
 });
--- a/src/decisions/regions/remote_rooms.ts
+++ b/src/decisions/regions/remote_capacity_table.ts
@@ -62,12 +62,12 @@
 const ROUNDING_EPSILON = 1e-9;
 
 /** Granted capacity by service and instance. */
-export class RemoteRooms {
+export class RemoteCapacityTable {
   readonly #byService = new Map<ServiceId, Map<InstanceId, RemoteCapacity>>();
   readonly #rampUps = new Map<string, RampUp>();
 
   /** Stores the grant of an instance. */
-  tell(service: ServiceId, peer: RemotePeer, grant: {
+  update(service: ServiceId, peer: RemotePeer, grant: {
     granted: number;
     now: number;
   }): void {
@@ -99,7 +99,7 @@
   }
 
   /** Requests in flight through the instances that the predicate selects. */
-  inFlightAt(at: (peer: RemotePeer) => boolean): number {
+  inFlightWhere(at: (peer: RemotePeer) => boolean): number {
     let sum = 0;
     for (const rows of this.#byService.values()) {
       for (const { peer, inFlight } of rows.values()) {
--- a/src/decisions/steering/endpoint_row.ts
+++ b/src/decisions/steering/endpoint_row.ts
@@ -102,7 +102,7 @@
 }
 
 /** Share of an endpoint's connections in proportion to a share of its slots. */
-export function connectionPart(entry: EndpointEntry, slots: number): number {
+export function connectionShare(entry: EndpointEntry, slots: number): number {
   return Math.floor(entry.connections * slots / entry.slots);
 }
 
@@ -121,7 +121,7 @@
   if (reportsNotReady(row, now)) return 0;
   const hard = Math.min(
     row.slotLimit,
-    connectionPart(row.entry, row.slotLimit),
+    connectionShare(row.entry, row.slotLimit),
   );
   const soft = Math.floor(row.adaptiveLimit * slowStartFactor(row, now));
   return Math.min(hard, Math.max(1, soft));
--- a/src/decisions/steering/fair_dispatcher.ts
+++ b/src/decisions/steering/fair_dispatcher.ts
@@ -133,7 +133,7 @@
   }
 
   /** Stores an endpoint's load report unless a newer one is known. */
-  hint(endpoint: EndpointId, loadHint: LoadHint): void {
+  recordHint(endpoint: EndpointId, loadHint: LoadHint): void {
     const row = this.#rows.get(endpoint);
     if (row && (row.hint === undefined || row.hint.at < loadHint.at)) {
       row.hint = loadHint;
--- a/src/gateway/forward_app.ts
+++ b/src/gateway/forward_app.ts
@@ -19,8 +19,8 @@
   ServiceId,
 } from "../core/mod.ts";
 import type {
-  ForwardedIntake,
-  Forwarder,
+  ForwardedAdmission,
+  ForwardingInstance,
   LinkBudgets,
 } from "../decisions/regions/mod.ts";
 import type { Slot, SteeringRequest } from "../decisions/steering/mod.ts";
@@ -46,16 +46,18 @@
   readonly clock: Clock;
   readonly metrics: Metrics;
   readonly endpoints: EndpointClient;
-  readonly intake: ForwardedIntake;
+  readonly intake: ForwardedAdmission;
   readonly links: LinkBudgets;
   readonly region: string;
   /** The peer that names itself so; undefined if it was never heard. */
-  readonly peerOf: (identity: ForwardIdentity) => Forwarder | undefined;
+  readonly peerOf: (
+    identity: ForwardIdentity,
+  ) => ForwardingInstance | undefined;
 }
 
 interface Forwarded {
   readonly req: Request;
-  readonly from: Forwarder;
+  readonly from: ForwardingInstance;
   readonly steering: SteeringRequest;
   readonly signal: AbortSignal;
 }
@@ -92,7 +94,7 @@
   const forwarded = accept(deps, req, res);
   if (forwarded.isErr()) return forwarded.map(() => undefined);
   const { steering, from, signal } = forwarded.value;
-  const slot = deps.intake.take(steering, from, deps.clock.now());
+  const slot = deps.intake.admit(steering, from, deps.clock.now());
   if (slot.isErr()) return slot.map(() => undefined);
   const answer = await send(deps, forwarded.value, slot.value);
   if (answer.isErr()) return answer.map(() => undefined);
--- a/src/instance/load_exchange.ts
+++ b/src/instance/load_exchange.ts
@@ -13,13 +13,13 @@
   ZoneId,
 } from "../core/mod.ts";
 import type {
-  ForwardedIntake,
-  Forwarder,
-  HeadroomGrants,
+  CapacityGrants,
+  ForwardedAdmission,
+  ForwardingInstance,
   LinkBudgets,
   RegionDispatcher,
+  RemoteCapacityTable,
   RemotePeer,
-  RemoteRooms,
 } from "../decisions/regions/mod.ts";
 import type { Prober } from "../endpoints/mod.ts";
 import type { ForwardIdentity } from "../gateway/mod.ts";
@@ -38,9 +38,9 @@
   readonly zone: ZoneId;
   readonly region: RegionId;
   readonly prober: Prober;
-  readonly grants: HeadroomGrants;
-  readonly intake: ForwardedIntake;
-  readonly rooms: RemoteRooms;
+  readonly grants: CapacityGrants;
+  readonly intake: ForwardedAdmission;
+  readonly rooms: RemoteCapacityTable;
   readonly links: LinkBudgets;
   readonly dispatcher: RegionDispatcher;
   readonly services: () => readonly ServiceId[];
@@ -86,7 +86,7 @@
   }
 
   /** The peer whose present life has this token; undefined if none was heard. */
-  peerOf(identity: ForwardIdentity): Forwarder | undefined {
+  peerOf(identity: ForwardIdentity): ForwardingInstance | undefined {
     const peer = this.#heard.get(identity.instance as InstanceId);
     return peer?.incarnation === identity.incarnation ? peer : undefined;
   }
@@ -107,7 +107,7 @@
   #roomsFor(to: InstanceId, peer: HeardPeer | undefined): ServiceRoom[] {
     const { clock, grants, dispatcher, services } = this.#deps;
     const now = clock.now();
-    const asked = new Set(grants.servicesOf(to, now));
+    const asked = new Set(grants.servicesRequestedBy(to, now));
     return services().flatMap((service) => {
       const wanted = dispatcher.wanted(service);
       if (wanted === 0 && !asked.has(service)) return [];
@@ -130,16 +130,16 @@
   ): number {
     const { intake, links, region } = this.#deps;
     if (peer === undefined) return 0;
-    if (peer.region !== region && !links.hasRoom(peer.region, now)) return 0;
-    return intake.shareable(service, now);
+    if (peer.region !== region && !links.canSend(peer.region, now)) return 0;
+    return intake.forwardedCapacity(service, now);
   }
 
   #absorbRoom(peer: HeardPeer, room: ServiceRoom): void {
     const service = ServiceId.safeParse(room.service);
     if (!service.success) return;
     const from = { instance: peer.instance, service: service.data };
-    this.#deps.grants.ask(from, room.wanted, peer.heardAt);
-    this.#deps.rooms.tell(service.data, peer, {
+    this.#deps.grants.request(from, room.wanted, peer.heardAt);
+    this.#deps.rooms.update(service.data, peer, {
       granted: room.granted,
       now: peer.heardAt,
     });
--- a/src/instance/steering.ts
+++ b/src/instance/steering.ts
@@ -11,17 +11,17 @@
   sleep,
 } from "../core/mod.ts";
 import {
-  ForwardedIntake,
-  HeadroomGrants,
+  CapacityGrants,
+  ForwardedAdmission,
   LinkBudgets,
   RegionDispatcher,
-  RemoteRooms,
+  RemoteCapacityTable,
 } from "../decisions/regions/mod.ts";
 import { DrainSet, DrainTracker } from "../decisions/drains/mod.ts";
 import { type EntryChoice, EntryChooser } from "../decisions/lookup/mod.ts";
 import { RetryPolicy } from "../decisions/retries/mod.ts";
 import {
-  connectionPart,
+  connectionShare,
   FairDispatcher,
   ProbeSchedule,
   type SlotLimits,
@@ -59,21 +59,21 @@
   readonly #deps: SteeringDeps;
   readonly local: FairDispatcher;
   readonly dispatcher: RegionDispatcher;
-  readonly intake: ForwardedIntake;
+  readonly intake: ForwardedAdmission;
   readonly links: LinkBudgets;
   readonly exchange: LoadExchange;
   readonly prober: Prober;
   readonly retries: RetryPolicy;
   readonly entries: EntryChooser;
   readonly drains: DrainTracker;
-  readonly #rooms = new RemoteRooms();
+  readonly #rooms = new RemoteCapacityTable();
   #drained: DrainSet | undefined;
 
   constructor(deps: SteeringDeps) {
     this.#deps = deps;
     const { zone, region } = deps.cfg.instance;
     const rooms = this.#rooms;
-    const grants = new HeadroomGrants();
+    const grants = new CapacityGrants();
     this.local = new FairDispatcher({ ...deps, zone });
     this.links = new LinkBudgets({ region, part: (now) => this.#part(now) });
     this.dispatcher = new RegionDispatcher({
@@ -81,10 +81,10 @@
       zone,
       region,
       local: this.local,
-      rooms,
+      remoteCapacity: rooms,
       links: this.links,
     });
-    this.intake = new ForwardedIntake({
+    this.intake = new ForwardedAdmission({
       region,
       local: this.local,
       grants,
@@ -157,7 +157,7 @@
 
   /** Resolves once no request that others forwarded runs here any more. */
   async forwardsEnded(): Promise<void> {
-    while (this.intake.runningInAll > 0) {
+    while (this.intake.totalInFlight > 0) {
       await sleep(this.#deps.clock, IDLE_CHECK_MS);
     }
   }
@@ -178,9 +178,9 @@
     const { cfg, running } = this.#deps;
     if (kind === "endpoint") return this.local.inFlight(id);
     if (kind === "instance" && id === cfg.instance.id) {
-      return running() + this.intake.runningInAll;
+      return running() + this.intake.totalInFlight;
     }
-    const elsewhere = this.#rooms.inFlightAt((peer) => peer[kind] === id);
+    const elsewhere = this.#rooms.inFlightWhere((peer) => peer[kind] === id);
     if (kind === "instance" || cfg.instance[kind] !== id) return elsewhere;
     const rows = this.local.rows();
     return elsewhere + rows.reduce((n, row) => n + row.inFlight, 0);
@@ -210,11 +210,11 @@
         this.local.rows().map(({ id, entry, inFlight, slotLimit }) => ({
           id,
           url: entry.url,
-          connectionFree: inFlight < connectionPart(entry, slotLimit),
+          connectionFree: inFlight < connectionShare(entry, slotLimit),
         })),
       zoneMates: () =>
         roster.live().filter((m) => m.zone === zone).map((m) => m.instance),
-      onHint: (endpoint, hint) => this.local.hint(endpoint, hint),
+      onHint: (endpoint, hint) => this.local.recordHint(endpoint, hint),
     });
   }
 }
--- a/src/instance/steering_test.ts
+++ b/src/instance/steering_test.ts
@@ -208,7 +208,7 @@
         instance: `i-${region}` as InstanceId,
         region: region as RegionId,
       };
-      const taken = there.steering.intake.take(req, from, clock.now());
+      const taken = there.steering.intake.admit(req, from, clock.now());
       if (taken.isErr()) {
         slot.release("shed", clock.now());
         return false;
@@ -226,7 +226,7 @@
     const last = this.#setup.fleet[2]!.steering;
     const running = last.local.inFlight("e-r3" as never);
     this.mostRunning = Math.max(this.mostRunning, running);
-    const forwarded = last.intake.running(SERVICE);
+    const forwarded = last.intake.inFlight(SERVICE);
     this.mostForwarded = Math.max(this.mostForwarded, forwarded);
   }
 }
