--- a/src/decisions/endpoint_limits/limited_sends.ts
+++ b/src/decisions/endpoint_limits/endpoint_rate_limiter.ts
@@ -16,7 +16,7 @@
 import { type EndpointId, hash, type InstanceId } from "../../core/mod.ts";
 import {
   type FleetDemand,
-  type RatedId,
+  type RateLimitId,
   type RateUse,
   type Reporter,
   SlidingWindowCounter,
@@ -75,7 +75,7 @@
 }
 
 /** Limits one instance's requests to endpoints that announce a limit. */
-export class LimitedSends {
+export class EndpointRateLimiter {
   readonly #own: InstanceId;
   readonly #demand: FleetDemand;
   readonly #gossipDelayMs: () => number;
@@ -98,7 +98,7 @@
   }
 
   /** Starts counting what peers send to an endpoint with a new limit. */
-  begin(id: EndpointId, now: number): void {
+  track(id: EndpointId, now: number): void {
     this.#rowOf(id, now);
   }
 
@@ -138,8 +138,8 @@
    * This instance's report. An endpoint stays in it once a request was sent to
    * it: if it were left out, its next count would be a new baseline.
    */
-  uses(): Map<RatedId, RateUse> {
-    const uses = new Map<RatedId, RateUse>();
+  uses(): Map<RateLimitId, RateUse> {
+    const uses = new Map<RateLimitId, RateUse>();
     for (const [id, { sent }] of this.#rows) {
       const perS = this.#demand.shares.ownPerS(id);
       if (perS > 0 || sent > 0) {
@@ -150,9 +150,9 @@
   }
 
   /** Applies a report of another instance or group. */
-  reported(
+  applyReport(
     { instance, start }: Reporter,
-    uses: ReadonlyMap<RatedId, RateUse>,
+    uses: ReadonlyMap<RateLimitId, RateUse>,
     now: number,
   ): void {
     for (const [id, { reports, window }] of this.#rows) {
@@ -168,12 +168,12 @@
   }
 
   /** Marks a group as unreachable: its next report is a new baseline. */
-  unreachable(group: InstanceId): void {
+  markUnreachable(group: InstanceId): void {
     for (const { reports } of this.#rows.values()) reports.delete(group);
   }
 
   /** Removes an endpoint that has ended or has no limit any more. */
-  forget(id: EndpointId): void {
+  remove(id: EndpointId): void {
     this.#rows.delete(id);
   }
 
--- a/src/decisions/endpoint_limits/limited_sends_test.ts
+++ b/src/decisions/endpoint_limits/endpoint_rate_limiter_test.ts
@@ -6,11 +6,11 @@
   SeededRandom,
 } from "../../core/mod.ts";
 import { DIRECT_GOSSIP_DELAY_MS, FleetDemand } from "../quotas/mod.ts";
-import { LimitedSends } from "./mod.ts";
+import { EndpointRateLimiter } from "./mod.ts";
 import {
-  allowed,
   LimitFleet,
   type LimitMember,
+  maxPerWindow,
 } from "./testing/limit_fleet.ts";
 
 /** Time in which instances learn of the limit and of the demand. */
@@ -39,7 +39,10 @@
       fleet.run(LEARN_MS, regional(size, 3 * ratePerS));
       fleet.resetCounts();
       fleet.run(12_000, regional(size, 3 * ratePerS));
-      t.true(fleet.maxInWindow <= allowed(ratePerS), `${fleet.maxInWindow}`);
+      t.true(
+        fleet.maxInWindow <= maxPerWindow(ratePerS),
+        `${fleet.maxInWindow}`,
+      );
       t.true(fleet.sent >= ratePerS * 12 * 0.6, `${fleet.sent}`);
     }
   });
@@ -60,7 +63,7 @@
         fleet.run(4_000, regional(size, times * ratePerS));
       }
       t.true(
-        fleet.maxInWindow <= allowed(ratePerS),
+        fleet.maxInWindow <= maxPerWindow(ratePerS),
         `${size}: ${fleet.maxInWindow}`,
       );
     }
@@ -85,7 +88,7 @@
       fleet.run(5_000, regional(size, ratePerS), 9);
     }
     t.true(
-      fleet.maxInWindow <= allowed(ratePerS),
+      fleet.maxInWindow <= maxPerWindow(ratePerS),
       `${seed}: ${fleet.maxInWindow}`,
     );
   }
@@ -106,7 +109,7 @@
   fleet.run(8_000, demand);
   fleet.heal();
   fleet.run(8_000, demand);
-  t.true(fleet.maxInWindow <= allowed(ratePerS), `${fleet.maxInWindow}`);
+  t.true(fleet.maxInWindow <= maxPerWindow(ratePerS), `${fleet.maxInWindow}`);
 });
 
 const EVENTS = fc.oneof(
@@ -153,7 +156,7 @@
           }
           fleet.run(2_000, regional(12, times * ratePerS));
         }
-        return fleet.maxInWindow <= allowed(ratePerS);
+        return fleet.maxInWindow <= maxPerWindow(ratePerS);
       },
     ),
     { numRuns: 40, seed: 30 },
@@ -162,12 +165,15 @@
 });
 
 /** A fleet of one instance. */
-function singleInstance(): { demand: FleetDemand; limiter: LimitedSends } {
+function singleInstance(): {
+  demand: FleetDemand;
+  limiter: EndpointRateLimiter;
+} {
   const own = "i1" as InstanceId;
   const demand = new FleetDemand(own, () => 1);
   return {
     demand,
-    limiter: new LimitedSends(own, {
+    limiter: new EndpointRateLimiter(own, {
       demand,
       gossipDelayMs: () => DIRECT_GOSSIP_DELAY_MS,
     }),
--- a/src/decisions/endpoint_limits/limit_register.ts
+++ b/src/decisions/endpoint_limits/limit_table.ts
@@ -36,7 +36,7 @@
 }
 
 /** Limits in effect at one instance. */
-export class LimitRegister {
+export class LimitTable {
   readonly #rows = new Map<EndpointId, Row>();
   /** When endpoints were removed whose limits peers may still report. */
   readonly #removedAt = new Map<EndpointId, number>();
@@ -48,7 +48,7 @@
   }
 
   /** Records a response that this instance received. */
-  observed(id: EndpointId, limit: ObservedLimit): void {
+  observe(id: EndpointId, limit: ObservedLimit): void {
     const row = this.#rowFor(id, limit);
     if (row === undefined) return;
     row.own = limit;
@@ -56,7 +56,7 @@
   }
 
   /** Records a response that another instance received. */
-  reported(id: EndpointId, limit: ObservedLimit): void {
+  applyReport(id: EndpointId, limit: ObservedLimit): void {
     if (limit.at <= (this.#removedAt.get(id) ?? -Infinity)) return;
     const row = this.#rowFor(id, limit);
     if (row !== undefined) update(row, limit);
@@ -75,7 +75,7 @@
   }
 
   /** Removes an endpoint that ended or restarted. */
-  forget(id: EndpointId, now: number): void {
+  remove(id: EndpointId, now: number): void {
     if (this.#rows.delete(id)) this.#removedAt.set(id, now);
   }
 
--- a/src/decisions/endpoint_limits/mod.ts
+++ b/src/decisions/endpoint_limits/mod.ts
@@ -3,5 +3,5 @@
  *
  * @module
  */
-export * from "./limit_register.ts";
-export * from "./limited_sends.ts";
+export * from "./limit_table.ts";
+export * from "./endpoint_rate_limiter.ts";
--- a/src/decisions/endpoint_limits/testing/limit_fleet.ts
+++ b/src/decisions/endpoint_limits/testing/limit_fleet.ts
@@ -13,18 +13,18 @@
 import {
   DIRECT_GOSSIP_DELAY_MS,
   FleetDemand,
-  type RatedId,
+  type RateLimitId,
   type RateUse,
   RELAYED_GOSSIP_DELAY_MS,
 } from "../../quotas/mod.ts";
 import { AdmissionTimes, arrivals } from "../../quotas/testing/arrivals.ts";
-import { LimitedSends } from "../mod.ts";
+import { EndpointRateLimiter } from "../mod.ts";
 
 /** Window over which an endpoint's limit is checked. */
 export const LIMIT_WINDOW_MS = 4_000;
 
 /** Maximum number of requests that an endpoint may get in a window. */
-export function allowed(ratePerS: number): number {
+export function maxPerWindow(ratePerS: number): number {
   return ratePerS * 1.5 * LIMIT_WINDOW_MS / 1_000 + 5;
 }
 
@@ -39,10 +39,10 @@
   /** Records a request for something else. */
   recordOther?(now: number): void;
   /** Runs once per gossip period; returns the report. */
-  tick(now: number): ReadonlyMap<RatedId, RateUse>;
+  tick(now: number): ReadonlyMap<RateLimitId, RateUse>;
   applyReport(
     from: { readonly instance: InstanceId; readonly start: string },
-    uses: ReadonlyMap<RatedId, RateUse>,
+    uses: ReadonlyMap<RateLimitId, RateUse>,
     now: number,
   ): void;
   markUnreachable(instance: InstanceId): void;
@@ -54,19 +54,19 @@
 /** The policy in production. */
 export class SharedLimitPolicy implements SendPolicy {
   readonly #demand: FleetDemand;
-  readonly #limiter: LimitedSends;
+  readonly #limiter: EndpointRateLimiter;
 
   constructor(own: InstanceId, opts: PolicyOptions) {
     const demand = new FleetDemand(own, () => opts.size);
     this.#demand = demand;
-    this.#limiter = new LimitedSends(own, {
+    this.#limiter = new EndpointRateLimiter(own, {
       demand,
       gossipDelayMs: () =>
         opts.gossipDelayMs < DIRECT_GOSSIP_DELAY_MS
           ? DIRECT_GOSSIP_DELAY_MS
           : RELAYED_GOSSIP_DELAY_MS,
     });
-    this.#limiter.begin(ENDPOINT, 0);
+    this.#limiter.track(ENDPOINT, 0);
   }
 
   take(ratePerS: number, now: number): boolean {
@@ -77,23 +77,23 @@
     this.#demand.recordRequest(ACCOUNT, now);
   }
 
-  tick(now: number): ReadonlyMap<RatedId, RateUse> {
+  tick(now: number): ReadonlyMap<RateLimitId, RateUse> {
     this.#demand.tick(now);
     return this.#limiter.uses();
   }
 
   applyReport(
     from: { readonly instance: InstanceId; readonly start: string },
-    uses: ReadonlyMap<RatedId, RateUse>,
+    uses: ReadonlyMap<RateLimitId, RateUse>,
     now: number,
   ): void {
-    this.#demand.reported(from, uses);
-    this.#limiter.reported(from, uses, now);
+    this.#demand.applyReport(from, uses);
+    this.#limiter.applyReport(from, uses, now);
   }
 
   markUnreachable(instance: InstanceId): void {
-    this.#demand.shares.unreachable(instance);
-    this.#limiter.unreachable(instance);
+    this.#demand.shares.markUnreachable(instance);
+    this.#limiter.markUnreachable(instance);
   }
 }
 
--- a/src/decisions/limits/borrow_rounds.ts
+++ b/src/decisions/limits/borrow_rounds.ts
@@ -16,7 +16,7 @@
 import type { BudgetAsk } from "../../gen/budget_pb.ts";
 
 /** Sends borrow requests; `done` is called once, whether or not it succeeds. */
-export interface Lenders {
+export interface LenderClient {
   borrow(lender: BudgetPeer, ask: BudgetAsk, done: () => void): void;
 }
 
@@ -25,7 +25,7 @@
   readonly clock: Clock;
   readonly self: BudgetPeer;
   readonly budgets: RateBudgets;
-  readonly lenders: Lenders;
+  readonly lenders: LenderClient;
   readonly peers: () => readonly BudgetPeer[];
   /** Called when a round ends: all groups were asked, or no token is needed. */
   readonly onEnd: (row: RateRow) => void;
--- a/src/decisions/limits/leased_limiter.ts
+++ b/src/decisions/limits/leased_limiter.ts
@@ -87,7 +87,7 @@
   }
 
   /** Admits the account's waiting requests; called when its share has grown. */
-  pump(account: AccountId): void {
+  serveWaiting(account: AccountId): void {
     const queue = this.#queues.get(account);
     if (queue === undefined) return;
     queue.shareGrown = true;
--- a/src/decisions/limits/mod.ts
+++ b/src/decisions/limits/mod.ts
@@ -8,4 +8,4 @@
 export * from "./leased_limiter.ts";
 export * from "./rate_limiter.ts";
 export * from "./token_bucket.ts";
-export * from "./return_schedule.ts";
+export * from "./retry_after_schedule.ts";
--- a/src/decisions/limits/return_schedule.ts
+++ b/src/decisions/limits/retry_after_schedule.ts
@@ -11,7 +11,7 @@
  */
 
 /** Retry-After values of one account or service. */
-export class ReturnSchedule {
+export class RetryAfterSchedule {
   readonly #maxMs: number;
   #lastAt = -Infinity;
 
--- a/src/decisions/placement/retry_after_policy.ts
+++ b/src/decisions/placement/retry_after_policy.ts
@@ -11,7 +11,7 @@
  */
 import type { ServiceId } from "../../core/mod.ts";
 import type { EndpointRow } from "../../traffic/mod.ts";
-import { ReturnSchedule } from "../limits/return_schedule.ts";
+import { RetryAfterSchedule } from "../limits/retry_after_schedule.ts";
 import { occupancy } from "./occupancy.ts";
 
 /** Used when there is capacity already; the shortest delay, in milliseconds. */
@@ -34,7 +34,7 @@
 
 /** Computes the Retry-After of one instance, spread out per service. */
 export class RetryAfterPolicy {
-  readonly #schedules = new Map<ServiceId, ReturnSchedule>();
+  readonly #schedules = new Map<ServiceId, RetryAfterSchedule>();
 
   /** Delay for a request that found all endpoints full, in milliseconds. */
   whenFull(outlook: CapacityOutlook, waitMs: number, now: number): number {
@@ -65,10 +65,10 @@
     );
   }
 
-  #scheduleOf(service: ServiceId): ReturnSchedule {
+  #scheduleOf(service: ServiceId): RetryAfterSchedule {
     const known = this.#schedules.get(service);
     if (known !== undefined) return known;
-    const fresh = new ReturnSchedule(MAX_RETRY_AFTER_MS);
+    const fresh = new RetryAfterSchedule(MAX_RETRY_AFTER_MS);
     this.#schedules.set(service, fresh);
     return fresh;
   }
--- a/src/decisions/quotas/account_quotas.ts
+++ b/src/decisions/quotas/account_quotas.ts
@@ -9,7 +9,7 @@
 import { FleetBucket, type FleetRate } from "./fleet_bucket.ts";
 import {
   FleetDemand,
-  type RatedId,
+  type RateLimitId,
   type RateUse,
   type Reporter,
 } from "./fleet_demand.ts";
@@ -21,7 +21,7 @@
   type RateWindow,
   toleratedPerWindow,
 } from "./rate_limit.ts";
-import { ReturnSchedule } from "../limits/return_schedule.ts";
+import { RetryAfterSchedule } from "../limits/retry_after_schedule.ts";
 
 const MAX_RETRY_AFTER_MS = 2_000;
 /**
@@ -46,7 +46,7 @@
   /** Requests per window that are tolerated above the limit. */
   toleratedPerWindow: number;
   readonly bucket: FleetBucket;
-  readonly retryAfter: ReturnSchedule;
+  readonly retryAfter: RetryAfterSchedule;
   /** The cached rate, and the version of the demand shares it is based on. */
   rate: FleetRate | undefined;
   rateVersion: number;
@@ -128,11 +128,11 @@
    * Load: most accounts of a plan are idle at most instances. An idle bucket is
    * rebalanced at its next request, so a tick costs only the active accounts.
    */
-  tick(now: number): Map<RatedId, RateUse> {
+  tick(now: number): Map<RateLimitId, RateUse> {
     const demand = this.demand.tick(now);
     this.#ticks++;
     if (this.#allReported()) this.#reportRounds++;
-    const uses = new Map<RatedId, RateUse>();
+    const uses = new Map<RateLimitId, RateUse>();
     for (const [id, perS] of demand) {
       const row = this.#rows.get(id as AccountId);
       if (row === undefined || row.account.ratePerS <= 0) continue;
@@ -144,13 +144,13 @@
   }
 
   /** Applies a report of another instance or group. */
-  reported(
+  applyReport(
     from: Reporter,
-    uses: ReadonlyMap<RatedId, RateUse>,
+    uses: ReadonlyMap<RateLimitId, RateUse>,
     now: number,
   ): void {
     const { instance, start } = from;
-    this.demand.reported(from, uses);
+    this.demand.applyReport(from, uses);
     this.#reported.add(instance);
     for (const [id, { admitted, level }] of uses) {
       const row = this.#rows.get(id as AccountId);
@@ -166,13 +166,13 @@
   }
 
   /** Removes an instance that has ended. */
-  forget(instance: InstanceId): void {
-    this.demand.shares.forget(instance);
+  remove(instance: InstanceId): void {
+    this.demand.shares.remove(instance);
   }
 
   /** Reserves the share of an instance that became unreachable. */
-  unreachable(instance: InstanceId): void {
-    this.demand.shares.unreachable(instance);
+  markUnreachable(instance: InstanceId): void {
+    this.demand.shares.markUnreachable(instance);
     for (const { bucket } of this.#rows.values()) bucket.resetPeer(instance);
   }
 
@@ -180,7 +180,7 @@
     const row: Row = {
       ...this.#limitsOf(account),
       bucket: new FleetBucket(now),
-      retryAfter: new ReturnSchedule(MAX_RETRY_AFTER_MS),
+      retryAfter: new RetryAfterSchedule(MAX_RETRY_AFTER_MS),
       rate: undefined,
       rateVersion: 0,
       rebalancedTick: this.#ticks,
--- a/src/decisions/quotas/account_quotas_test.ts
+++ b/src/decisions/quotas/account_quotas_test.ts
@@ -5,7 +5,7 @@
 import { AccountQuotas } from "./mod.ts";
 import {
   account,
-  bound,
+  maxPerWindow,
   QuotaFleet,
   type QuotaMember,
   SUSPECT_AFTER_MS,
@@ -51,7 +51,7 @@
   const fleet = new QuotaFleet(12, subject, 3);
   fleet.run(10_000, () => 5);
   fleet.run(10_000, () => 40);
-  t.true(fleet.mostWithin(5_000) <= bound(subject));
+  t.true(fleet.mostWithin(5_000) <= maxPerWindow(subject));
   const admitted = fleet.run(10_000, () => 40);
   t.true(admitted >= 0.9 * 100 * 10, `${admitted} of 1000 within the rate`);
 });
@@ -74,7 +74,7 @@
   const { admitted, most } = admittedAboveRate(subject);
   const allowed = 4 * (5 * 388 + 388);
   t.true(admitted >= 0.97 * allowed, `${admitted} of ${allowed}`);
-  t.true(most <= bound(subject), `${most} of ${bound(subject)}`);
+  t.true(most <= maxPerWindow(subject), `${most} of ${maxPerWindow(subject)}`);
 });
 
 for (const ratePerS of [88, 17]) {
@@ -84,7 +84,10 @@
     const subject = account({ ratePerS, burst: ratePerS });
     const { admitted, most } = admittedAboveRate(subject);
     t.true(admitted >= 20 * ratePerS, `${admitted} of ${20 * ratePerS}`);
-    t.true(most <= bound(subject), `${most} of ${bound(subject)}`);
+    t.true(
+      most <= maxPerWindow(subject),
+      `${most} of ${maxPerWindow(subject)}`,
+    );
   });
 }
 
@@ -120,7 +123,10 @@
     t.true(admitted >= requests * 0.75, `${admitted} of ${requests} admitted`);
     fleet.run(7_000, () => ratePerS * 4.7 / 78);
     const most = fleet.mostWithin(5_000);
-    t.true(most <= bound(subject), `${most} of ${bound(subject)}`);
+    t.true(
+      most <= maxPerWindow(subject),
+      `${most} of ${maxPerWindow(subject)}`,
+    );
   });
 }
 
@@ -135,7 +141,7 @@
   fleet.run(SUSPECT_AFTER_MS, () => 160);
   fleet.detectCut();
   fleet.run(10_000, () => 160);
-  t.true(fleet.mostWithin(5_000) <= bound(subject));
+  t.true(fleet.mostWithin(5_000) <= maxPerWindow(subject));
 });
 
 test("a restart of all instances does not grant the burst again", (t) => {
@@ -146,7 +152,7 @@
   fleet.run(10_000, () => 160);
   for (const member of fleet.members) fleet.restart(member);
   fleet.run(10_000, () => 160);
-  t.true(fleet.mostWithin(5_000) <= bound(subject));
+  t.true(fleet.mostWithin(5_000) <= maxPerWindow(subject));
 });
 
 test("after a restart of all instances 90% of requests within the rate are admitted", (t) => {
@@ -215,7 +221,11 @@
   const use = { perS: 1, admitted: 1, level: 1 };
   const uses = new Map(accounts.map(({ id }) => [id, use]));
   const report = (i: number) =>
-    quotas.reported({ instance: `i${i}` as InstanceId, start: "s" }, uses, i);
+    quotas.applyReport(
+      { instance: `i${i}` as InstanceId, start: "s" },
+      uses,
+      i,
+    );
   report(1);
   quotas.tick(1);
   calls = 0;
@@ -357,7 +367,10 @@
   test(`no window exceeds the limit: ${fault}`, (t) => {
     const subject = account({ ratePerS, burst: ratePerS });
     const most = maxAfter(events, subject, seed);
-    t.true(most <= bound(subject), `${most} of ${bound(subject)}`);
+    t.true(
+      most <= maxPerWindow(subject),
+      `${most} of ${maxPerWindow(subject)}`,
+    );
   });
 }
 
@@ -371,7 +384,8 @@
       fc.property(
         fc.array(EVENTS, { minLength: 1, maxLength: 6 }),
         fc.integer({ min: 1, max: 1_000 }),
-        (events, seed) => maxAfter(events, subject, seed) <= bound(subject),
+        (events, seed) =>
+          maxAfter(events, subject, seed) <= maxPerWindow(subject),
       ),
       { numRuns: RUNS, seed: 7 },
     );
--- a/src/decisions/quotas/demand_counter.ts
+++ b/src/decisions/quotas/demand_counter.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import { EwmaRate } from "./ewma_rate.ts";
-import type { RatedId } from "./fleet_demand.ts";
+import type { RateLimitId } from "./fleet_demand.ts";
 
 /**
  * Time constant of the moving average: short enough that shares follow callers
@@ -18,10 +18,10 @@
 
 /** Exponentially weighted moving average rates, by account or endpoint. */
 export class DemandCounter {
-  readonly #rates = new Map<RatedId, EwmaRate>();
+  readonly #rates = new Map<RateLimitId, EwmaRate>();
 
   /** Counts one request. */
-  recordRequest(id: RatedId, now: number): void {
+  recordRequest(id: RateLimitId, now: number): void {
     let rate = this.#rates.get(id);
     if (rate === undefined) {
       rate = new EwmaRate(TIME_CONSTANT_MS);
@@ -31,13 +31,13 @@
   }
 
   /** Requests a second of one account or endpoint. */
-  rate(id: RatedId, now: number): number {
+  rate(id: RateLimitId, now: number): number {
     return this.#rates.get(id)?.perS(now) ?? 0;
   }
 
   /** Requests a second of all ids with demand; drops those without. */
-  rates(now: number): Map<RatedId, number> {
-    const rates = new Map<RatedId, number>();
+  rates(now: number): Map<RateLimitId, number> {
+    const rates = new Map<RateLimitId, number>();
     for (const [account, count] of this.#rates) {
       const perS = count.perS(now);
       if (perS < NEGLIGIBLE_PER_S) this.#rates.delete(account);
--- a/src/decisions/quotas/demand_shares.ts
+++ b/src/decisions/quotas/demand_shares.ts
@@ -14,7 +14,7 @@
  * @module
  */
 import type { InstanceId } from "../../core/mod.ts";
-import type { RatedId } from "./fleet_demand.ts";
+import type { RateLimitId } from "./fleet_demand.ts";
 
 /**
  * Fraction of the rate that is divided equally, so that an instance with new
@@ -32,14 +32,14 @@
 const MIN_DEMAND_PER_S = 0.5;
 
 /** Recent requests a second, by account. */
-export type Demand = ReadonlyMap<RatedId, number>;
+export type Demand = ReadonlyMap<RateLimitId, number>;
 
 /** Inputs from which shares are computed. */
 interface ShareInputs {
   /** Requests a second of all reachable instances, by account. */
-  readonly demand: ReadonlyMap<RatedId, number>;
+  readonly demand: ReadonlyMap<RateLimitId, number>;
   /** Fraction of the rate reserved for unreachable instances, by account. */
-  readonly reserved: ReadonlyMap<RatedId, number>;
+  readonly reserved: ReadonlyMap<RateLimitId, number>;
   /** Unreachable instances; each has its part of `EQUAL_FRACTION` at least. */
   readonly unreachableCount: number;
   /** Reachable instances, and how many of them have reported. */
@@ -54,13 +54,13 @@
 }
 
 /** Shares reserved for one group. */
-export interface Reservation extends Reserved {
+export interface Reservation extends ReservedShares {
   readonly group: InstanceId;
 }
 
-export function sumOfReserved(parts: Iterable<Reserved>): Reserved {
+export function sumOfReserved(parts: Iterable<ReservedShares>): ReservedShares {
   const all = [...parts];
-  const shares = new Map<RatedId, number>();
+  const shares = new Map<RateLimitId, number>();
   for (const part of all) addAll(shares, part.shares);
   return { shares, instances: countInstances(all) };
 }
@@ -72,8 +72,8 @@
 }
 
 /** Fractions of rates that unreachable instances may be spending. */
-export interface Reserved {
-  readonly shares: ReadonlyMap<RatedId, number>;
+export interface ReservedShares {
+  readonly shares: ReadonlyMap<RateLimitId, number>;
   readonly instances: number;
 }
 
@@ -83,9 +83,9 @@
   readonly #fleetSize: () => number;
   readonly #reports = new Map<InstanceId, ReportedDemand>();
   /** Shares of unreachable instances as of the oldest snapshot. */
-  readonly #reserved = new Map<InstanceId, Reserved>();
+  readonly #reserved = new Map<InstanceId, ReservedShares>();
   /** Shares that groups have reserved for their own unreachable instances. */
-  readonly #reservedBy = new Map<InstanceId, Reserved>();
+  readonly #reservedBy = new Map<InstanceId, ReservedShares>();
   /** Computed lazily: `fleetSize` can't be called during construction. */
   #cachedInputs: ShareInputs | undefined;
   /** Oldest first. */
@@ -105,7 +105,8 @@
   applyReport(
     instance: InstanceId,
     demand: Demand,
-    opts: { readonly instances?: number; readonly reserved?: Reserved } = {},
+    opts: { readonly instances?: number; readonly reserved?: ReservedShares } =
+      {},
   ): void {
     const { instances = 1, reserved } = opts;
     this.#reserved.delete(instance);
@@ -126,13 +127,13 @@
   }
 
   /** Reserves the share of an instance that became unreachable. */
-  unreachable(instance: InstanceId): void {
+  markUnreachable(instance: InstanceId): void {
     const current = this.#reports.get(instance);
     if (current === undefined || instance === this.#own) return;
     const [oldest] = this.#snapshots;
     const earlier = oldest?.reports.get(instance) ?? current;
     const inputs = oldest?.inputs ?? this.#inputs;
-    const shares = new Map<RatedId, number>();
+    const shares = new Map<RateLimitId, number>();
     for (const account of earlier.demand.keys()) {
       shares.set(account, shareOf(earlier, inputs, account));
     }
@@ -143,7 +144,7 @@
   }
 
   /** Removes an instance that has ended. */
-  forget(instance: InstanceId): void {
+  remove(instance: InstanceId): void {
     if (instance === this.#own) return;
     this.#reports.delete(instance);
     this.#reserved.delete(instance);
@@ -164,7 +165,7 @@
    * @example
    * const ratePerS = account.ratePerS * shares.own(account.id);
    */
-  own(account: RatedId): number {
+  own(account: RateLimitId): number {
     const demand = this.#reports.get(this.#own)?.demand ?? NO_DEMAND;
     return shareOf({ demand, instances: 1 }, this.#inputs, account);
   }
@@ -188,23 +189,23 @@
    * Requests a second of all reachable instances; those that have not reported
    * yet are assumed to have the mean demand.
    */
-  reachablePerS(id: RatedId): number {
+  reachablePerS(id: RateLimitId): number {
     return reachablePerS(this.#inputs, id);
   }
 
   /** Requests a second at this instance. */
-  ownPerS(id: RatedId): number {
+  ownPerS(id: RateLimitId): number {
     return this.#reports.get(this.#own)?.demand.get(id) ?? 0;
   }
 
   /** Requests a second of an account at the peers. */
-  peersPerS(account: RatedId): number {
+  peersPerS(account: RateLimitId): number {
     const totalPerS = this.#inputs.demand.get(account) ?? 0;
     return Math.max(0, totalPerS - this.ownPerS(account));
   }
 
   /** Fraction of a rate reserved for unreachable instances, in [0, 1]. */
-  reserved(account: RatedId): number {
+  reserved(account: RateLimitId): number {
     return reservedOf(this.#inputs, account);
   }
 
@@ -214,7 +215,7 @@
 
   #computeInputs(): ShareInputs {
     this.#version++;
-    const demand = new Map<RatedId, number>();
+    const demand = new Map<RateLimitId, number>();
     for (const report of this.#reports.values()) {
       addAll(demand, report.demand);
     }
@@ -236,7 +237,7 @@
   return sum;
 }
 
-function addAll(sums: Map<RatedId, number>, parts: Demand): void {
+function addAll(sums: Map<RateLimitId, number>, parts: Demand): void {
   for (const [account, part] of parts) {
     sums.set(account, (sums.get(account) ?? 0) + part);
   }
@@ -245,7 +246,7 @@
 function shareOf(
   { demand, instances }: ReportedDemand,
   inputs: ShareInputs,
-  account: RatedId,
+  account: RateLimitId,
 ): number {
   const available = 1 - reservedOf(inputs, account);
   const equalShare = available * Math.min(1, instances / inputs.heard);
@@ -258,13 +259,13 @@
 
 function reachablePerS(
   { demand, heard, reporting }: ShareInputs,
-  id: RatedId,
+  id: RateLimitId,
 ): number {
   return (demand.get(id) ?? 0) * heard / Math.max(1, reporting);
 }
 
 /** Unreachable instances without demand keep their part of `EQUAL_FRACTION`. */
-function reservedOf(inputs: ShareInputs, account: RatedId): number {
+function reservedOf(inputs: ShareInputs, account: RateLimitId): number {
   const { reserved, unreachableCount, heard } = inputs;
   const floor = EQUAL_FRACTION * unreachableCount / (unreachableCount + heard);
   return Math.min(1, Math.max(floor, reserved.get(account) ?? 0));
--- a/src/decisions/quotas/demand_shares_test.ts
+++ b/src/decisions/quotas/demand_shares_test.ts
@@ -68,7 +68,7 @@
   // Guards against dividing the share of a partitioned zone that still spends.
   const unreachable = "zone 5" as InstanceId;
   const sum = sumOfShares((shares, zone) => {
-    if (zone !== 5) shares.unreachable(unreachable);
+    if (zone !== 5) shares.markUnreachable(unreachable);
   });
   t.true(sum <= 1 + 1e-9, `${sum}`);
   t.true(sum > 0.95, `${sum}`);
--- a/src/decisions/quotas/fleet_demand.ts
+++ b/src/decisions/quotas/fleet_demand.ts
@@ -6,11 +6,11 @@
  */
 import type { AccountId, EndpointId, InstanceId } from "../../core/mod.ts";
 import { DemandCounter } from "./demand_counter.ts";
-import { DemandShares, type Reserved } from "./demand_shares.ts";
+import { DemandShares, type ReservedShares } from "./demand_shares.ts";
 import { DemandTrend } from "./demand_trend.ts";
 
 /** What has a rate limit over the whole fleet. */
-export type RatedId = AccountId | EndpointId;
+export type RateLimitId = AccountId | EndpointId;
 
 /** Usage of one account or endpoint, as an instance reports it. */
 export interface RateUse {
@@ -28,7 +28,7 @@
   /** Identifies the instance's start: its counters restart at zero with it. */
   readonly start: string;
   readonly instances?: number;
-  readonly reserved?: Reserved;
+  readonly reserved?: ReservedShares;
 }
 
 /** One instance's view of the fleet's demand. */
@@ -45,7 +45,7 @@
   }
 
   /** Counts one request. */
-  recordRequest(id: RatedId, now: number): void {
+  recordRequest(id: RateLimitId, now: number): void {
     this.#counter.recordRequest(id, now);
     this.#trend.recordRequest(now);
   }
@@ -56,14 +56,14 @@
   }
 
   /** Applies this instance's own demand and returns it; runs once a tick. */
-  tick(now: number): ReadonlyMap<RatedId, number> {
+  tick(now: number): ReadonlyMap<RateLimitId, number> {
     const demand = this.#counter.rates(now);
     this.shares.tick(demand);
     return demand;
   }
 
   /** Applies the demand that another instance or group reported. */
-  reported(from: Reporter, uses: ReadonlyMap<RatedId, RateUse>): void {
+  applyReport(from: Reporter, uses: ReadonlyMap<RateLimitId, RateUse>): void {
     const demand = new Map([...uses].map(([id, use]) => [id, use.perS]));
     this.shares.applyReport(from.instance, demand, from);
   }
@@ -72,14 +72,14 @@
    * Requests a second of all instances, the unreachable ones included. Until
    * peers have reported, each is assumed to have the demand of this instance.
    */
-  fleetPerS(id: RatedId, now: number): number {
+  fleetPerS(id: RateLimitId, now: number): number {
     const reachable = this.shares.reachablePerS(id);
     if (reachable <= 0) return this.#counter.rate(id, now) * this.#fleetSize();
     return reachable / this.reachableFraction(id);
   }
 
   /** Fraction of a rate that is not reserved for unreachable instances. */
-  reachableFraction(id: RatedId): number {
+  reachableFraction(id: RateLimitId): number {
     return Math.max(MIN_REACHABLE_FRACTION, 1 - this.shares.reserved(id));
   }
 }
--- a/src/decisions/quotas/testing/quota_fleet.ts
+++ b/src/decisions/quotas/testing/quota_fleet.ts
@@ -118,7 +118,7 @@
   detectCut(): void {
     for (const a of this.members) {
       for (const b of this.members) {
-        if (a !== b && (a.cut || b.cut)) a.quotas.unreachable(b.id);
+        if (a !== b && (a.cut || b.cut)) a.quotas.markUnreachable(b.id);
       }
     }
   }
@@ -160,7 +160,7 @@
       if (other === member || other.cut) continue;
       this.#inTransit.push({
         at: this.now + this.#gossipDelayMs,
-        run: () => other.quotas.reported(from, uses, this.now),
+        run: () => other.quotas.applyReport(from, uses, this.now),
       });
     }
   }
@@ -173,6 +173,6 @@
 }
 
 /** Requests that the platform tolerates in a window of five seconds. */
-export function bound({ ratePerS, burst }: Account): number {
+export function maxPerWindow({ ratePerS, burst }: Account): number {
   return (ratePerS * 5 + burst) * 1.1 + 20;
 }
--- a/src/decisions/retries/retry_policy.ts
+++ b/src/decisions/retries/retry_policy.ts
@@ -52,7 +52,7 @@
   }
 
   /** Spends a retry and returns its backoff; undefined if it is not allowed. */
-  next(failed: FailedAttempt, now: number): number | undefined {
+  nextBackoffMs(failed: FailedAttempt, now: number): number | undefined {
     if (!isRetryable(failed)) return undefined;
     const maxBackoffMs = BASE_BACKOFF_MS * 2 ** (failed.tries - 1);
     const backoffMs = maxBackoffMs * this.#random.next();
--- a/src/decisions/retries/retry_policy_test.ts
+++ b/src/decisions/retries/retry_policy_test.ts
@@ -36,7 +36,7 @@
 for (const { name, change, retried } of CASES) {
   test(`${retried ? "retries" : "does not retry"}: ${name}`, (t) => {
     const policy = new RetryPolicy(new SeededRandom(1));
-    t.is(policy.next(failed(change), 0) !== undefined, retried);
+    t.is(policy.nextBackoffMs(failed(change), 0) !== undefined, retried);
   });
 }
 
@@ -51,7 +51,9 @@
       policy.request(SERVICE, now);
       for (let tries = 1; tries < 3; tries++) {
         const deadline = now + 1_000;
-        if (policy.next(failed({ tries, deadline }), now) === undefined) break;
+        if (
+          policy.nextBackoffMs(failed({ tries, deadline }), now) === undefined
+        ) break;
         retries += 1;
       }
     }
--- a/src/edge/endpoint_limits.ts
+++ b/src/edge/endpoint_limits.ts
@@ -12,10 +12,14 @@
   Metrics,
 } from "../core/mod.ts";
 import {
-  LimitedSends,
-  LimitRegister,
+  EndpointRateLimiter,
+  LimitTable,
 } from "../decisions/endpoint_limits/mod.ts";
-import type { FleetDemand, RatedId, RateUse } from "../decisions/quotas/mod.ts";
+import type {
+  FleetDemand,
+  RateLimitId,
+  RateUse,
+} from "../decisions/quotas/mod.ts";
 import type { GroupReport, ObservedLimits } from "../fleet/mod.ts";
 import type { EndpointRow } from "../traffic/mod.ts";
 import type { AnswerLimit } from "./request_codec.ts";
@@ -36,13 +40,13 @@
 /** Limits of endpoints as one instance keeps them. */
 export class EndpointLimits {
   readonly #opts: EndpointLimitsOptions;
-  readonly #register = new LimitRegister();
-  readonly #sends: LimitedSends;
+  readonly #register = new LimitTable();
+  readonly #sends: EndpointRateLimiter;
   readonly #unreadable = new Set<EndpointId>();
 
   constructor(opts: EndpointLimitsOptions) {
     this.#opts = opts;
-    this.#sends = new LimitedSends(opts.own, opts);
+    this.#sends = new EndpointRateLimiter(opts.own, opts);
   }
 
   /** Requests a second that an endpoint takes; undefined without a limit. */
@@ -75,22 +79,22 @@
     this.#follow(
       id,
       "answer",
-      () => this.#register.observed(id, { ratePerS, at }),
+      () => this.#register.observe(id, { ratePerS, at }),
     );
   }
 
   /** Takes in what another instance, or several as one, report. */
   reported(news: GroupReport, now: number): void {
     const { group, limits, uses } = news;
-    this.#sends.reported({ ...news, instance: group }, uses, now);
+    this.#sends.applyReport({ ...news, instance: group }, uses, now);
     for (const [id, limit] of limits) {
-      this.#follow(id, group, () => this.#register.reported(id, limit));
+      this.#follow(id, group, () => this.#register.applyReport(id, limit));
     }
   }
 
   /** A group is not heard. */
   unreachable(group: InstanceId): void {
-    this.#sends.unreachable(group);
+    this.#sends.markUnreachable(group);
   }
 
   /** Limits that this instance observed lately, for its peers. */
@@ -99,7 +103,7 @@
   }
 
   /** What this instance sent to endpoints with a limit, for its peers. */
-  uses(): ReadonlyMap<RatedId, RateUse> {
+  uses(): ReadonlyMap<RateLimitId, RateUse> {
     return this.#sends.uses();
   }
 
@@ -107,7 +111,7 @@
   forget({ id }: EndpointRow): void {
     this.#unreadable.delete(id);
     const { clock } = this.#opts;
-    this.#follow(id, "end", () => this.#register.forget(id, clock.now()));
+    this.#follow(id, "end", () => this.#register.remove(id, clock.now()));
   }
 
   /** Applies a change to the register, and follows what it does to a limit. */
@@ -117,8 +121,8 @@
     const after = this.limitOf(id);
     if (after === before) return;
     const { clock, log, metrics } = this.#opts;
-    if (after === undefined) this.#sends.forget(id);
-    else this.#sends.begin(id, clock.now());
+    if (after === undefined) this.#sends.remove(id);
+    else this.#sends.track(id, clock.now());
     metrics.gauge("endpoint.limit", after ?? 0, { endpoint: id });
     log.event("endpoint_limit_changed", {
       endpoint: id,
--- a/src/edge/gossip_handlers.ts
+++ b/src/edge/gossip_handlers.ts
@@ -37,7 +37,7 @@
   reported(news: GroupReport, now: number): void {
     const { quotas, limits, expiry, peerLoad, watchers } = this.#opts;
     const { group: instance, uses, inFlight } = news;
-    quotas.reported({ ...news, instance }, uses, now);
+    quotas.applyReport({ ...news, instance }, uses, now);
     limits.reported(news, now);
     if (news.storeInTouch) expiry.otherInTouch(now);
     peerLoad.reported(instance, inFlight);
@@ -45,7 +45,7 @@
   }
 
   suspect(group: InstanceId): void {
-    this.#opts.quotas.unreachable(group);
+    this.#opts.quotas.markUnreachable(group);
     this.#opts.limits.unreachable(group);
   }
 
@@ -54,7 +54,7 @@
   }
 
   removed(group: InstanceId): void {
-    this.#opts.quotas.forget(group);
+    this.#opts.quotas.remove(group);
     this.#opts.limits.unreachable(group);
     this.#opts.peerLoad.unreachable(group);
   }
--- a/src/fleet/digest.ts
+++ b/src/fleet/digest.ts
@@ -11,7 +11,7 @@
 import { Buffer } from "node:buffer";
 import { err, ok, type Result } from "neverthrow";
 import { type EndpointId, fail, type Failure } from "../core/mod.ts";
-import type { RatedId, RateUse } from "../decisions/quotas/mod.ts";
+import type { RateLimitId, RateUse } from "../decisions/quotas/mod.ts";
 import {
   isName,
   isRecord,
@@ -48,7 +48,7 @@
   /** Revision of the last change received, by kind of object. */
   readonly changes: ReadonlyMap<string, number>;
   /** Request rate and admissions of accounts and of rate-limited endpoints. */
-  readonly uses: ReadonlyMap<RatedId, RateUse>;
+  readonly uses: ReadonlyMap<RateLimitId, RateUse>;
   /** Requests in flight by endpoint; idle endpoints have no entry. */
   readonly inFlight: ReadonlyMap<EndpointId, number>;
   /** Rate limits that endpoints stated, or stopped stating, in responses. */
--- a/src/fleet/digest_rows.ts
+++ b/src/fleet/digest_rows.ts
@@ -11,7 +11,7 @@
   type RegionId,
   type ZoneId,
 } from "../core/mod.ts";
-import type { RatedId, RateUse } from "../decisions/quotas/mod.ts";
+import type { RateLimitId, RateUse } from "../decisions/quotas/mod.ts";
 import {
   INSTANCE_STATES,
   type InstanceProfile,
@@ -60,7 +60,7 @@
 }
 
 export function useRows(
-  uses: ReadonlyMap<RatedId, RateUse>,
+  uses: ReadonlyMap<RateLimitId, RateUse>,
 ): Record<string, UseRow> {
   const rows: Record<string, UseRow> = {};
   for (const [account, { perS, admitted, level }] of uses) {
@@ -71,13 +71,13 @@
 
 export function readUses(
   rows: Record<string, unknown>,
-): Map<RatedId, RateUse> {
-  const uses = new Map<RatedId, RateUse>();
+): Map<RateLimitId, RateUse> {
+  const uses = new Map<RateLimitId, RateUse>();
   for (const [account, row] of Object.entries(rows)) {
     if (!Array.isArray(row) || !row.every(Number.isFinite)) continue;
     const [perS, admitted, level] = row as UseRow;
     if (!(perS >= 0) || !(admitted >= 0) || level === undefined) continue;
-    uses.set(account as RatedId, { perS, admitted, level });
+    uses.set(account as RateLimitId, { perS, admitted, level });
   }
   return uses;
 }
--- a/src/fleet/fleet_feed.ts
+++ b/src/fleet/fleet_feed.ts
@@ -7,7 +7,7 @@
  * @module
  */
 import type { InstanceId } from "../core/mod.ts";
-import type { Reserved } from "../decisions/quotas/mod.ts";
+import type { ReservedShares } from "../decisions/quotas/mod.ts";
 import type { Digest } from "./digest.ts";
 import type { ObservedLimits } from "./limit_rows.ts";
 
@@ -24,7 +24,7 @@
   /** How many instances it stands for. */
   readonly instances: number;
   /** What unreachable instances may be spending, as far as the group says. */
-  readonly reserved?: Reserved;
+  readonly reserved?: ReservedShares;
 }
 
 /** Takes in what groups report, and which of them become unreachable. */
--- a/src/fleet/fleet_limits_test.ts
+++ b/src/fleet/fleet_limits_test.ts
@@ -1,9 +1,9 @@
 import test from "ava";
 import { type EndpointId, SeededRandom } from "../core/mod.ts";
-import { LimitedSends } from "../decisions/endpoint_limits/mod.ts";
+import { EndpointRateLimiter } from "../decisions/endpoint_limits/mod.ts";
 import {
-  allowed,
   LIMIT_WINDOW_MS,
+  maxPerWindow,
 } from "../decisions/endpoint_limits/testing/limit_fleet.ts";
 import { FleetDemand } from "../decisions/quotas/mod.ts";
 import {
@@ -20,7 +20,7 @@
 class LimitedFleet {
   readonly members: TestMember[];
   readonly #fleet: MemberFleet;
-  readonly #sends = new Map<TestMember, LimitedSends>();
+  readonly #sends = new Map<TestMember, EndpointRateLimiter>();
   readonly #random = new SeededRandom(3);
   #sent = new AdmissionTimes();
 
@@ -76,25 +76,25 @@
   #equip(member: TestMember): void {
     const { id } = member.profile;
     const demand = new FleetDemand(id, () => member.member.fleetSize);
-    const sends = new LimitedSends(id, {
+    const sends = new EndpointRateLimiter(id, {
       demand,
       gossipDelayMs: () => member.member.gossipDelayMs,
     });
-    sends.begin(E1, this.#fleet.clock.now());
+    sends.track(E1, this.#fleet.clock.now());
     this.#sends.set(member, sends);
     member.takes = {
       reported: (report, now) => {
         const from = { ...report, instance: report.group };
-        demand.reported(from, report.uses);
-        sends.reported(from, report.uses, now);
+        demand.applyReport(from, report.uses);
+        sends.applyReport(from, report.uses, now);
       },
       suspect: (group) => {
-        demand.shares.unreachable(group);
-        sends.unreachable(group);
+        demand.shares.markUnreachable(group);
+        sends.markUnreachable(group);
       },
       removed: (group) => {
-        demand.shares.forget(group);
-        sends.unreachable(group);
+        demand.shares.remove(group);
+        sends.markUnreachable(group);
       },
       report: (now) => {
         demand.tick(now);
@@ -112,7 +112,10 @@
     fleet.run(3_000, 3);
     fleet.resetCount();
     const sent = fleet.run(15_000, 3);
-    t.true(fleet.mostInWindow <= allowed(RATE_PER_S), `${fleet.mostInWindow}`);
+    t.true(
+      fleet.mostInWindow <= maxPerWindow(RATE_PER_S),
+      `${fleet.mostInWindow}`,
+    );
     t.true(sent >= RATE_PER_S * 15 * 0.6, `${sent}`);
   });
 }
@@ -127,5 +130,8 @@
   fleet.run(6_000, 3);
   fleet.heal();
   fleet.run(6_000, 3);
-  t.true(fleet.mostInWindow <= allowed(RATE_PER_S), `${fleet.mostInWindow}`);
+  t.true(
+    fleet.mostInWindow <= maxPerWindow(RATE_PER_S),
+    `${fleet.mostInWindow}`,
+  );
 });
--- a/src/fleet/fleet_rates_test.ts
+++ b/src/fleet/fleet_rates_test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import * as fc from "fast-check";
-import { bound } from "../decisions/quotas/testing/quota_fleet.ts";
+import { maxPerWindow } from "../decisions/quotas/testing/quota_fleet.ts";
 import { RatedFleet } from "./testing/rated_fleet.ts";
 
 const ZONES = ["a1", "b1", "c1"];
@@ -22,7 +22,7 @@
   const fleet = await RatedFleet.start(ZONES, PER_ZONE, { ratePerS: 388 });
   fleet.run(6_000, 0.6);
   const passed = fleet.run(8_000, 4.7);
-  t.true(fleet.mostWithin(5_000) <= bound(fleet.account));
+  t.true(fleet.mostWithin(5_000) <= maxPerWindow(fleet.account));
   t.true(passed >= 8 * 388 * 0.9, `${passed} of ${8 * 388}`);
 });
 
@@ -35,7 +35,10 @@
   fleet.heal();
   fleet.run(6_000, 4);
   const most = fleet.mostWithin(5_000);
-  t.true(most <= bound(fleet.account), `${most} of ${bound(fleet.account)}`);
+  t.true(
+    most <= maxPerWindow(fleet.account),
+    `${most} of ${maxPerWindow(fleet.account)}`,
+  );
 });
 
 // Guards against admitting the shares of partitioned instances twice.
@@ -101,7 +104,7 @@
             }
             fleet.run(1_500, times);
           }
-          return fleet.mostWithin(5_000) <= bound(fleet.account);
+          return fleet.mostWithin(5_000) <= maxPerWindow(fleet.account);
         },
       ),
       { numRuns: RUNS, seed: 11 },
--- a/src/fleet/group_sums.ts
+++ b/src/fleet/group_sums.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import type { EndpointId, InstanceId } from "../core/mod.ts";
-import type { RatedId, RateUse } from "../decisions/quotas/mod.ts";
+import type { RateLimitId, RateUse } from "../decisions/quotas/mod.ts";
 import type { GroupReport } from "./fleet_feed.ts";
 import type { Report } from "./report_rows.ts";
 
@@ -16,7 +16,7 @@
   readonly report: GroupReport;
   readonly suspect: boolean;
   /** Admissions as last reported, including those of accounts now idle. */
-  readonly admitted: Map<RatedId, number>;
+  readonly admitted: Map<RateLimitId, number>;
   /** Whether the first count of an account is added in full. */
   readonly countsFromZero: boolean;
 }
@@ -29,8 +29,8 @@
  */
 export class GroupSums {
   readonly #groups = new Map<InstanceId, Group>();
-  readonly #admitted = new Map<RatedId, number>();
-  readonly #ownAdmitted = new Map<RatedId, number>();
+  readonly #admitted = new Map<RateLimitId, number>();
+  readonly #ownAdmitted = new Map<RateLimitId, number>();
 
   /** Latest reports of the groups that are not suspect. */
   get heard(): readonly GroupReport[] {
@@ -47,7 +47,9 @@
     const previous = this.#groups.get(report.group);
     const continued = previous?.suspect === false ? previous : undefined;
     const sameRun = continued?.report.start === report.start;
-    const admitted = sameRun ? continued.admitted : new Map<RatedId, number>();
+    const admitted = sameRun
+      ? continued.admitted
+      : new Map<RateLimitId, number>();
     const countsFromZero = sameRun
       ? continued.countsFromZero
       : fresh || continued !== undefined;
@@ -93,11 +95,11 @@
     return { uses: this.#uses(own.uses), inFlight: this.#inFlight(own) };
   }
 
-  #uses(own: ReadonlyMap<RatedId, RateUse>): Map<RatedId, RateUse> {
+  #uses(own: ReadonlyMap<RateLimitId, RateUse>): Map<RateLimitId, RateUse> {
     for (const [account, { admitted }] of own) {
       this.#count(account, admitted, this.#ownAdmitted);
     }
-    const sums = new Map<RatedId, RateUse>();
+    const sums = new Map<RateLimitId, RateUse>();
     const all = [own, ...[...this.#groups.values()].map((g) => g.report.uses)];
     for (const uses of all) {
       for (const [account, use] of uses) {
@@ -124,9 +126,9 @@
 
   /** Adds the increase over `known` to the account's total. */
   #count(
-    account: RatedId,
+    account: RateLimitId,
     admitted: number,
-    known: Map<RatedId, number>,
+    known: Map<RateLimitId, number>,
   ): void {
     const increase = Math.max(0, admitted - (known.get(account) ?? 0));
     known.set(account, admitted);
@@ -134,5 +136,5 @@
   }
 }
 
-const NO_USES: ReadonlyMap<RatedId, RateUse> = new Map();
+const NO_USES: ReadonlyMap<RateLimitId, RateUse> = new Map();
 const NONE_IN_FLIGHT: ReadonlyMap<EndpointId, number> = new Map();
--- a/src/fleet/relay_follower.ts
+++ b/src/fleet/relay_follower.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import { type EndpointId, hash, type InstanceId } from "../core/mod.ts";
-import type { RatedId, RateUse } from "../decisions/quotas/mod.ts";
+import type { RateLimitId, RateUse } from "../decisions/quotas/mod.ts";
 import type { Digest } from "./digest.ts";
 import type { FleetAggregate } from "./fleet_aggregate.ts";
 import { FLEET_GROUP, type FleetFeed, type GroupReport } from "./fleet_feed.ts";
@@ -29,7 +29,7 @@
 /** What one digest of this instance added to the sums. */
 interface OwnPart extends Pick<Digest, "seq" | "uses" | "inFlight"> {
   /** Requests admitted since the start, accounts out of use included. */
-  readonly admitted: ReadonlyMap<RatedId, number>;
+  readonly admitted: ReadonlyMap<RateLimitId, number>;
 }
 
 interface Followed {
@@ -46,7 +46,7 @@
   readonly #feed: FleetFeed;
   readonly #sent: OwnPart[] = [];
   /** What of the followed relay's counts is this instance's own. */
-  #counted: ReadonlyMap<RatedId, number> = new Map();
+  #counted: ReadonlyMap<RateLimitId, number> = new Map();
   #relay: Followed | undefined;
   #suspect = false;
   #unreachable = false;
@@ -155,11 +155,11 @@
 }
 
 function lessUses(
-  sums: ReadonlyMap<RatedId, RateUse>,
-  own: ReadonlyMap<RatedId, RateUse>,
-  counted: ReadonlyMap<RatedId, number>,
-): ReadonlyMap<RatedId, RateUse> {
-  const rest = new Map<RatedId, RateUse>();
+  sums: ReadonlyMap<RateLimitId, RateUse>,
+  own: ReadonlyMap<RateLimitId, RateUse>,
+  counted: ReadonlyMap<RateLimitId, number>,
+): ReadonlyMap<RateLimitId, RateUse> {
+  const rest = new Map<RateLimitId, RateUse>();
   for (const [account, { perS, admitted, level }] of sums) {
     rest.set(account, {
       perS: Math.max(0, perS - (own.get(account)?.perS ?? 0)),
@@ -170,7 +170,7 @@
   return rest;
 }
 
-const NO_USES: ReadonlyMap<RatedId, RateUse> = new Map();
+const NO_USES: ReadonlyMap<RateLimitId, RateUse> = new Map();
 
 function lessInFlight(
   sums: ReadonlyMap<EndpointId, number>,
--- a/src/fleet/report_rows.ts
+++ b/src/fleet/report_rows.ts
@@ -11,7 +11,11 @@
   WireType,
 } from "@bufbuild/protobuf/wire";
 import type { EndpointId } from "../core/mod.ts";
-import type { RatedId, RateUse, Reserved } from "../decisions/quotas/mod.ts";
+import type {
+  RateLimitId,
+  RateUse,
+  ReservedShares,
+} from "../decisions/quotas/mod.ts";
 import { isName } from "./digest_rows.ts";
 import {
   type AgedLimit,
@@ -55,7 +59,7 @@
   readonly seq: number;
   /** Revision of the last change received, by kind of object. */
   readonly changes: ReadonlyMap<string, number>;
-  readonly uses: ReadonlyMap<RatedId, RateUse>;
+  readonly uses: ReadonlyMap<RateLimitId, RateUse>;
   /** Requests in flight by endpoint. */
   readonly inFlight: ReadonlyMap<EndpointId, number>;
   /** Rate limits that endpoints recently stated or stopped stating. */
@@ -69,7 +73,7 @@
   /** Whether the store responds to any of the instances that watch it. */
   readonly storeInTouch: boolean;
   /** Shares of rates reserved for instances that do not report. */
-  readonly reserved: Reserved;
+  readonly reserved: ReservedShares;
 }
 
 export interface WriteReportOptions {
@@ -127,10 +131,10 @@
   instances = 0;
   storeInTouch = false;
   readonly changes = new Map<string, number>();
-  readonly uses = new Map<RatedId, RateUse>();
+  readonly uses = new Map<RateLimitId, RateUse>();
   readonly inFlight = new Map<EndpointId, number>();
   readonly limits = new Map<EndpointId, AgedLimit>();
-  readonly #shares = new Map<RatedId, number>();
+  readonly #shares = new Map<RateLimitId, number>();
   #reservedInstances = 0;
   readonly #fields: ReportFields;
   readonly #dictionary: NameDictionary;
@@ -140,7 +144,7 @@
     this.#dictionary = dictionary;
   }
 
-  get reserved(): Reserved {
+  get reserved(): ReservedShares {
     return { shares: this.#shares, instances: this.#reservedInstances };
   }
 
@@ -209,7 +213,7 @@
       admitted: readSafeInteger(rows),
       level: Number(rows.sint64()) / TENTHS,
     };
-    if (account !== undefined) this.uses.set(account as RatedId, use);
+    if (account !== undefined) this.uses.set(account as RateLimitId, use);
   }
 
   #readInFlight(rows: BinaryReader): void {
@@ -228,7 +232,7 @@
   #readShare(rows: BinaryReader): void {
     const account = readName(rows, this.#dictionary);
     const share = rows.uint32() / SHARE_UNITS;
-    if (account !== undefined) this.#shares.set(account as RatedId, share);
+    if (account !== undefined) this.#shares.set(account as RateLimitId, share);
   }
 }
 
--- a/src/fleet/testing/member_fleet.ts
+++ b/src/fleet/testing/member_fleet.ts
@@ -14,7 +14,7 @@
   type ZoneId,
 } from "../../core/mod.ts";
 import type {
-  RatedId,
+  RateLimitId,
   RateUse,
   Reservation,
 } from "../../decisions/quotas/mod.ts";
@@ -40,7 +40,7 @@
   readonly relayed: RelayedChanges[];
   /** Groups that became suspect, in order. */
   readonly suspect: string[];
-  readonly uses: Map<RatedId, RateUse>;
+  readonly uses: Map<RateLimitId, RateUse>;
   readonly inFlight: Map<EndpointId, number>;
   readonly limits: Map<EndpointId, ObservedLimit>;
   roles: Roles;
@@ -55,7 +55,7 @@
     readonly reported: (news: GroupReport, now: number) => void;
     readonly suspect?: (group: InstanceId) => void;
     readonly removed?: (group: InstanceId) => void;
-    readonly report: (now: number) => Map<RatedId, RateUse>;
+    readonly report: (now: number) => Map<RateLimitId, RateUse>;
     readonly reservations: () => readonly Reservation[];
   };
 }
--- a/src/fleet/testing/rated_fleet.ts
+++ b/src/fleet/testing/rated_fleet.ts
@@ -127,9 +127,9 @@
     this.#quotas.set(member, quotas);
     member.takes = {
       reported: (news, now) =>
-        quotas.reported({ ...news, instance: news.group }, news.uses, now),
-      suspect: (group) => quotas.unreachable(group),
-      removed: (group) => quotas.forget(group),
+        quotas.applyReport({ ...news, instance: news.group }, news.uses, now),
+      suspect: (group) => quotas.markUnreachable(group),
+      removed: (group) => quotas.remove(group),
       report: (now) => quotas.tick(now),
       reservations: () => quotas.reservations,
     };
--- a/src/fleet/zone_exchange.ts
+++ b/src/fleet/zone_exchange.ts
@@ -7,7 +7,7 @@
  * @module
  */
 import { type Clock, type Random, someOf, type ZoneId } from "../core/mod.ts";
-import type { Reserved } from "../decisions/quotas/mod.ts";
+import type { ReservedShares } from "../decisions/quotas/mod.ts";
 import type { Datagrams } from "./datagrams.ts";
 import type { Digest } from "./digest.ts";
 import type { InstanceProfile } from "./instance_profile.ts";
@@ -31,7 +31,7 @@
 /** What is reported of a zone besides its members. */
 export interface ZoneSums extends Sums {
   readonly limits: AgedLimits;
-  readonly reserved: Reserved;
+  readonly reserved: ReservedShares;
 }
 
 /** What the exchange works with. */
--- a/src/gateway/operation_dispatch.ts
+++ b/src/gateway/operation_dispatch.ts
@@ -77,7 +77,7 @@
       tried.add(slot.value.endpoint);
       last = await this.#try(req, slot.value, until);
       if (last.isOk() || last.error.outcome !== "not-run") return last;
-      const waitMs = retries.next({
+      const waitMs = retries.nextBackoffMs({
         service: req.service,
         tries: tried.size,
         failure: last.error,
--- a/src/gateway/request_path.ts
+++ b/src/gateway/request_path.ts
@@ -206,7 +206,7 @@
         return ok(undefined);
       }
       last = worse(last, answer.error);
-      const waitMs = retries.next({
+      const waitMs = retries.nextBackoffMs({
         ...admitted,
         tries: tried.size,
         failure: answer.error,
--- a/src/instance/fleet_budgets.ts
+++ b/src/instance/fleet_budgets.ts
@@ -23,7 +23,7 @@
 import {
   BorrowRounds,
   LeasedLimiter,
-  type Lenders,
+  type LenderClient,
 } from "../decisions/limits/mod.ts";
 import { LeasedSlotLimits } from "../decisions/steering/mod.ts";
 import type { SteeringDocument } from "../document/mod.ts";
@@ -59,7 +59,7 @@
 const LENT_CHECK_MS = 20;
 
 /** Rates and slots of one instance. */
-export class FleetBudgets implements PeerSubsystem, System, Lenders {
+export class FleetBudgets implements PeerSubsystem, System, LenderClient {
   readonly name = "budgets";
   readonly limiter: LeasedLimiter;
   readonly slotLimits: LeasedSlotLimits;
@@ -85,7 +85,7 @@
       shares,
       peers,
       restMs,
-      onGrown: (account) => this.limiter.pump(account),
+      onGrown: (account) => this.limiter.serveWaiting(account),
       ...(log === undefined ? {} : {
         onUnaccounted: (account, reason) =>
           log.event("budget_suspended", { account, reason }),
@@ -140,7 +140,7 @@
 
   borrow(
     lender: BudgetPeer,
-    ask: Parameters<Lenders["borrow"]>[1],
+    ask: Parameters<LenderClient["borrow"]>[1],
     done: () => void,
   ): void {
     const { instance } = lender;
--- a/tools/bench/fleet.ts
+++ b/tools/bench/fleet.ts
@@ -93,7 +93,7 @@
   const busy = Math.min(BUSY_ACCOUNTS, all.length);
   member.takes = {
     reported: (news, now) => {
-      quotas.reported({ ...news, instance: news.group }, news.uses, now);
+      quotas.applyReport({ ...news, instance: news.group }, news.uses, now);
       load.reported(news.group, news.inFlight);
     },
     report: (now) => {
