--- a/src/decisions/budgets/ask_plan.ts
+++ b/src/decisions/budgets/ask_plan.ts
@@ -34,7 +34,7 @@
 }
 
 /** The amount to ask of each of `count` peers to obtain `want` in total. */
-export function askEach(want: number, count: number): number {
+export function amountPerPeer(want: number, count: number): number {
   return count <= 1 ? want : Math.min(want, want * OVERASK_FACTOR / count);
 }
 
@@ -42,7 +42,7 @@
  * The whole tokens to ask of each peer to obtain `tokens` in total, from at
  * most twice as many peers as tokens. `turn` rotates the peers between rounds.
  */
-export function askTokens(
+export function planTokenAsks(
   tokens: number,
   peers: readonly BudgetPeer[],
   turn: number,
--- a/src/decisions/budgets/budget_exchange.ts
+++ b/src/decisions/budgets/budget_exchange.ts
@@ -16,12 +16,12 @@
   type BudgetPart,
   BudgetPartSchema,
 } from "../../gen/budget_pb.ts";
-import type { BudgetTable, Party } from "./budget_table.ts";
+import type { BudgetTable, InstanceIncarnation } from "./budget_table.ts";
 import type { SeatShares } from "./seat_shares.ts";
 
 /** Dependencies of a budget exchange. */
 export interface BudgetExchangeDeps {
-  readonly self: Party;
+  readonly self: InstanceIncarnation;
   readonly clock: Clock;
   readonly shares: Pick<
     SeatShares,
@@ -73,7 +73,7 @@
   }
 
   /** Processes the budget part of another instance's batch. */
-  absorb(batch: { budget?: BudgetPart }, from: Party): void {
+  absorb(batch: { budget?: BudgetPart }, from: InstanceIncarnation): void {
     if (batch.budget !== undefined) this.#absorb(batch.budget, from);
   }
 
@@ -124,7 +124,7 @@
     });
   }
 
-  #absorb(part: BudgetPart, from: Party): void {
+  #absorb(part: BudgetPart, from: InstanceIncarnation): void {
     const now = this.#deps.clock.now();
     this.#deps.shares.recordSettledGeneration(
       from.instance,
@@ -142,7 +142,11 @@
   }
 
   /** Ignores grants that echo another incarnation's stamp: its clock differs. */
-  #acceptGrants(part: BudgetPart, from: Party, now: number): void {
+  #acceptGrants(
+    part: BudgetPart,
+    from: InstanceIncarnation,
+    now: number,
+  ): void {
     if (part.echoIncarnation !== this.#deps.self.incarnation) return;
     for (const grant of part.grants) {
       const end = part.echoStamp + grant.leaseMs;
@@ -150,7 +154,12 @@
     }
   }
 
-  #answerAsk(part: BudgetPart, ask: BudgetAsk, from: Party, now: number): void {
+  #answerAsk(
+    part: BudgetPart,
+    ask: BudgetAsk,
+    from: InstanceIncarnation,
+    now: number,
+  ): void {
     const answer = this.#tables.get(ask.kind)?.answer(ask, from, now);
     if (answer === undefined) return;
     if (answer.grants.length === 0 && answer.demand === undefined) return;
@@ -159,7 +168,7 @@
     if (answer.demand !== undefined) outbox.demands.push(answer.demand);
   }
 
-  #outboxFor(to: Party, stamp: number): Outbox {
+  #outboxFor(to: InstanceIncarnation, stamp: number): Outbox {
     const known = this.#outboxes.get(to.instance);
     if (known !== undefined && known.incarnation === to.incarnation) {
       known.stamp = Math.min(known.stamp, stamp);
--- a/src/decisions/budgets/budget_table.ts
+++ b/src/decisions/budgets/budget_table.ts
@@ -18,7 +18,7 @@
 }
 
 /** An instance and its incarnation, as the sender of a message. */
-export interface Party {
+export interface InstanceIncarnation {
   readonly instance: string;
   readonly incarnation: string;
 }
@@ -35,13 +35,22 @@
   /** Requests and loan reports due for a lender; planned ones appear once. */
   dueAsks(lender: string, now: number): BudgetAsk[];
   /** Lends, renews and takes back loans as a borrower's request says. */
-  answer(ask: BudgetAsk, from: Party, now: number): LenderAnswer;
+  answer(ask: BudgetAsk, from: InstanceIncarnation, now: number): LenderAnswer;
   /** Records a grant that expires at `end` on this instance's clock. */
-  accept(grant: BudgetGrant, from: Party, end: number, now: number): void;
+  accept(
+    grant: BudgetGrant,
+    from: InstanceIncarnation,
+    end: number,
+    now: number,
+  ): void;
   /** Makes no new loans and renews none from now on. */
   stopLending(): void;
   /** Whether another instance may still be using a loan from this one. */
-  lends(now: number): boolean;
+  hasLentLoans(now: number): boolean;
   /** Records another instance's demand. */
-  recordDemand(demand: BudgetDemand, from: Party, now: number): void;
+  recordDemand(
+    demand: BudgetDemand,
+    from: InstanceIncarnation,
+    now: number,
+  ): void;
 }
--- a/src/decisions/budgets/demand_meter.ts
+++ b/src/decisions/budgets/demand_meter.ts
@@ -30,7 +30,7 @@
   }
 
   /** Counts one attempt. */
-  hit(now: number): void {
+  countAttempt(now: number): void {
     this.#count += 1;
     this.#lastAttemptAt = now;
   }
--- a/src/decisions/budgets/invariant.ts
+++ b/src/decisions/budgets/invariant.ts
@@ -5,7 +5,7 @@
  */
 
 /** Tolerance for rounding in floating-point sums. */
-export const ROUNDING = 1e-9;
+export const EPSILON = 1e-9;
 
 /** A violated invariant, such as shares above their total: a program fault. */
 export class InvariantError extends Error {
--- a/src/decisions/budgets/rate_budgets.ts
+++ b/src/decisions/budgets/rate_budgets.ts
@@ -15,12 +15,12 @@
   BudgetKind,
 } from "../../gen/budget_pb.ts";
 import type { BucketSize } from "../limits/token_bucket.ts";
-import { askEach, groupByProximity, withPeerFirst } from "./ask_plan.ts";
+import { amountPerPeer, groupByProximity, withPeerFirst } from "./ask_plan.ts";
 import type {
   BudgetPeer,
   BudgetTable,
+  InstanceIncarnation,
   LenderAnswer,
-  Party,
 } from "./budget_table.ts";
 import { needsReport, toHeldLoan } from "./held_loan.ts";
 import { LEASE_MS, lenderLeaseMs } from "./lease.ts";
@@ -53,16 +53,16 @@
 
 /** Dependencies of the rate budgets. */
 export interface RateBudgetsDeps {
-  readonly self: BudgetPeer & Party;
+  readonly self: BudgetPeer & InstanceIncarnation;
   readonly shares: SeatShares;
   /** Peers that are reachable at present. */
   readonly peers: () => readonly BudgetPeer[];
   /** Minimum time, in milliseconds, that a seat is unused between holders. */
-  readonly restMs: () => number;
+  readonly seatVacancyMs: () => number;
   /** Called when an account's share has grown. */
-  readonly onGrown?: (account: AccountId, now: number) => void;
+  readonly onShareGrown?: (account: AccountId, now: number) => void;
   /** Called when a share exceeds the account's total; by default that throws. */
-  readonly onUnaccounted?: (account: AccountId, what: string) => void;
+  readonly onOverallocated?: (account: AccountId, what: string) => void;
 }
 
 interface PlannedAsk {
@@ -115,7 +115,7 @@
   }
 
   #newRateRow(account: AccountId, total: BucketSize, now: number): RateRow {
-    const { onUnaccounted: notify } = this.#deps;
+    const { onOverallocated: notify } = this.#deps;
     if (notify === undefined) return newRateRow(account, total, now);
     return newRateRow(
       account,
@@ -126,7 +126,7 @@
   }
 
   /** Activates and refreshes the account's row; undefined without a rate. */
-  open(account: AccountId, now: number): RateRow | undefined {
+  activate(account: AccountId, now: number): RateRow | undefined {
     const row = this.#rows.get(account);
     if (row === undefined) return undefined;
     this.#refresh(row, now);
@@ -138,7 +138,7 @@
     this.#lender.close();
   }
 
-  lends(now: number): boolean {
+  hasLentLoans(now: number): boolean {
     return [...this.#rows.values()].some(({ share }) =>
       share.book.lentTotal(now) > 0
     );
@@ -177,7 +177,7 @@
   }
 
   /** Builds a borrow request outside the plan, for waiting requests. */
-  askNow(row: RateRow, lender: string, { wanted, tokens, now }: {
+  immediateAsk(row: RateRow, lender: string, { wanted, tokens, now }: {
     wanted: number;
     tokens: number;
     now: number;
@@ -187,8 +187,8 @@
     return this.#buildAsk(row, lender, planned, now);
   }
 
-  answer(ask: BudgetAsk, from: Party, now: number): LenderAnswer {
-    const row = this.open(ask.key as AccountId, now);
+  answer(ask: BudgetAsk, from: InstanceIncarnation, now: number): LenderAnswer {
+    const row = this.activate(ask.key as AccountId, now);
     if (row === undefined) return { grants: [] };
     row.peerDemand.set(from.instance, { demand: ask.demand, at: now });
     const grants = ask.held.flatMap((held) =>
@@ -205,8 +205,13 @@
     return { grants, demand };
   }
 
-  accept(grant: BudgetGrant, from: Party, end: number, now: number): void {
-    const row = this.open(grant.key as AccountId, now);
+  accept(
+    grant: BudgetGrant,
+    from: InstanceIncarnation,
+    end: number,
+    now: number,
+  ): void {
+    const row = this.activate(grant.key as AccountId, now);
     if (row === undefined) return;
     if (grant.reclaim) return this.#returnReclaimed(row, grant, from, now);
     row.share.accept({
@@ -217,14 +222,14 @@
       amount: grant.amount,
       end,
     }, { tokens: grant.tokens, now });
-    this.#deps.onGrown?.(row.account, now);
+    this.#deps.onShareGrown?.(row.account, now);
   }
 
   /** Returns a reclaimed loan, whose tokens would be lost at its expiry. */
   #returnReclaimed(
     row: RateRow,
     grant: BudgetGrant,
-    from: Party,
+    from: InstanceIncarnation,
     now: number,
   ): void {
     const loan = row.share.book.borrowedLoans(now).find((l) =>
@@ -236,7 +241,11 @@
     if (by > 0) row.share.returnBorrowed(loan, by, now);
   }
 
-  recordDemand(demand: BudgetDemand, from: Party, now: number): void {
+  recordDemand(
+    demand: BudgetDemand,
+    from: InstanceIncarnation,
+    now: number,
+  ): void {
     const row = this.#rows.get(demand.key as AccountId);
     row?.peerDemand.set(from.instance, { demand: demand.demand, at: now });
   }
@@ -278,12 +287,12 @@
   }
 
   /** The fraction of the rate that this instance lacks. */
-  want(row: RateRow, now: number): number {
+  missingFraction(row: RateRow, now: number): number {
     return missingFraction(row.share, this.state(row, now));
   }
 
   /** Whole tokens that this instance's waiting requests lack. */
-  tokensWanted(row: RateRow, now: number): number {
+  missingTokens(row: RateRow, now: number): number {
     return missingTokens(row.share, this.state(row, now));
   }
 
@@ -299,7 +308,10 @@
   }
 
   #updateOwn(now: number): Entitlement {
-    const holdMs = Math.max(0, lenderLeaseMs(LEASE_MS) - this.#deps.restMs());
+    const holdMs = Math.max(
+      0,
+      lenderLeaseMs(LEASE_MS) - this.#deps.seatVacancyMs(),
+    );
     const own = this.#deps.shares.fraction(now, holdMs);
     if (now >= this.#own.until) this.#lapses += 1;
     this.#own = own;
@@ -319,7 +331,7 @@
   }
 
   #planAsks(row: RateRow, groups: BudgetPeer[][], now: number): void {
-    const missing = this.want(row, now);
+    const missing = this.missingFraction(row, now);
     row.shortTicks = missing > 0 ? row.shortTicks + 1 : 0;
     if (missing === 0) return;
     const nearest = withPeerFirst(row.poolOwner, groups);
@@ -328,7 +340,7 @@
     const peers = row.shortTicks === 1 || zoneOnly
       ? nearest[0] ?? []
       : groups.flat();
-    const wanted = askEach(missing, peers.length);
+    const wanted = amountPerPeer(missing, peers.length);
     for (const { instance } of peers) {
       const asks = this.#plan.get(instance) ?? new Map();
       asks.set(row, { wanted, tokens: 0 });
--- a/src/decisions/budgets/rate_lender.ts
+++ b/src/decisions/budgets/rate_lender.ts
@@ -11,8 +11,8 @@
   BudgetKind,
   type HeldLoan,
 } from "../../gen/budget_pb.ts";
-import type { Party } from "./budget_table.ts";
-import { ROUNDING } from "./invariant.ts";
+import type { InstanceIncarnation } from "./budget_table.ts";
+import { EPSILON } from "./invariant.ts";
 import { lenderLeaseMs } from "./lease.ts";
 import type { LentLoan } from "./loan_book.ts";
 import {
@@ -52,7 +52,7 @@
   lend(
     row: RateRow,
     ask: BudgetAsk,
-    from: Party,
+    from: InstanceIncarnation,
     now: number,
   ): BudgetGrant[] {
     if (this.#closed) return [];
@@ -67,7 +67,7 @@
   report(
     row: RateRow,
     held: HeldLoan,
-    from: Party,
+    from: InstanceIncarnation,
     now: number,
   ): BudgetGrant[] {
     if (held.lenderIncarnation !== this.#deps.incarnation) return [];
@@ -100,7 +100,7 @@
       .filter((l) => l.reclaimed)
       .reduce((sum, l) => sum + l.amount, 0);
     const overLent = share.isOverLent(now);
-    if (overLent || short - returning > ROUNDING) loan.reclaimed = true;
+    if (overLent || short - returning > EPSILON) loan.reclaimed = true;
     return loan.reclaimed;
   }
 
@@ -108,7 +108,7 @@
   #lendTokens(
     row: RateRow,
     ask: BudgetAsk,
-    from: Party,
+    from: InstanceIncarnation,
     now: number,
   ): BudgetGrant | undefined {
     const spare = lendableTokens(row.share, this.#deps.state(row, now));
@@ -121,20 +121,20 @@
   #lendRate(
     row: RateRow,
     ask: BudgetAsk,
-    from: Party,
+    from: InstanceIncarnation,
     now: number,
   ): BudgetGrant | undefined {
     const { share } = row;
     const spare = lendableFraction(share, this.#deps.state(row, now));
     const amount = Math.min(ask.wanted, spare, share.burstFraction);
-    if (!(amount > ROUNDING)) return undefined;
+    if (!(amount > EPSILON)) return undefined;
     const tokens = share.tokens(now) * amount / share.burstFraction;
     return this.#lend(row, from, { amount, tokens, now, tokensOnly: false });
   }
 
   #lend(
     row: RateRow,
-    { instance: borrower }: Party,
+    { instance: borrower }: InstanceIncarnation,
     { amount, tokens, now, tokensOnly }: {
       amount: number;
       tokens: number;
--- a/src/decisions/budgets/rate_share.ts
+++ b/src/decisions/budgets/rate_share.ts
@@ -12,9 +12,9 @@
 import { type BucketSize, TokenBucket } from "../limits/token_bucket.ts";
 import { DemandMeter } from "./demand_meter.ts";
 import {
+  EPSILON,
   invariant,
   type OnOverallocated,
-  ROUNDING,
   throwOnOverallocation,
 } from "./invariant.ts";
 import {
@@ -74,7 +74,7 @@
 
   /** Whether more rate is lent than the share of this instance's seats. */
   isOverLent(now: number): boolean {
-    return this.book.lentRate(now) > this.#own.amount + ROUNDING;
+    return this.book.lentRate(now) > this.#own.amount + EPSILON;
   }
 
   /** The share of this instance's seats that is not lent. */
@@ -91,9 +91,9 @@
   maxRateLeaseMs(more: number, now: number): number {
     const { amount, until } = this.#own;
     if (this.#suspended) return 0;
-    if (this.book.lentRate(now) + more > amount + ROUNDING) return 0;
+    if (this.book.lentRate(now) + more > amount + EPSILON) return 0;
     const covered = amount + this.#backingRate(now);
-    if (this.book.lentTotal(now) + more > covered + ROUNDING) return 0;
+    if (this.book.lentTotal(now) + more > covered + EPSILON) return 0;
     return Math.max(0, maxLeaseWithin(until - now));
   }
 
@@ -105,7 +105,7 @@
    */
   maxTokenLeaseMs(more: number, now: number): number {
     if (this.#suspended) return 0;
-    const needed = this.book.lentTotal(now) + more - ROUNDING;
+    const needed = this.book.lentTotal(now) + more - EPSILON;
     let covered = this.#own.amount;
     let end = Math.min(this.#own.until, now + lenderLeaseMs(TOKEN_LEASE_MS));
     if (covered >= needed) return Math.max(0, maxLeaseWithin(end - now));
@@ -178,7 +178,7 @@
     { tokens, now }: { tokens: number; now: number },
   ): number {
     invariant(
-      loan.amount <= this.#burstFraction + ROUNDING,
+      loan.amount <= this.#burstFraction + EPSILON,
       `lends ${loan.amount} of a share of ${this.#burstFraction}`,
     );
     const most = Math.min(tokens, loan.amount * this.#total.burst);
@@ -209,7 +209,7 @@
   /** Returns `by` of a borrowed loan with a proportional part of the tokens. */
   returnBorrowed(loan: BorrowedLoan, by: number, now: number): void {
     invariant(
-      loan.tokensOnly || by <= this.returnable(now) + ROUNDING,
+      loan.tokensOnly || by <= this.returnable(now) + EPSILON,
       "returns borrowed rate that it has lent",
     );
     const tokens = this.#bucket.tokens(now) * by /
@@ -259,7 +259,7 @@
     const own = this.#own.amount;
     const rate = own + this.book.borrowedRate(at) - this.book.lentRate(at);
     const burst = this.#heldFraction(at) - this.book.lentTotal(at);
-    const fits = rate <= 1 + ROUNDING && burst <= 1 + ROUNDING;
+    const fits = rate <= 1 + EPSILON && burst <= 1 + EPSILON;
     if (!fits && !this.#suspended) {
       this.#onOverallocated(
         `shares ${rate} of rate and ${burst} of burst exceed the total`,
--- a/src/decisions/budgets/return_surplus.ts
+++ b/src/decisions/budgets/return_surplus.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { ROUNDING } from "./invariant.ts";
+import { EPSILON } from "./invariant.ts";
 import { type RateState, surplusFraction } from "./rate_policy.ts";
 import type { RateRow } from "./rate_row.ts";
 
@@ -26,7 +26,7 @@
     Number(zonePeers.has(a.lender)) - Number(zonePeers.has(b.lender))
   );
   for (const loan of loans) {
-    if (surplus <= ROUNDING) return;
+    if (surplus <= EPSILON) return;
     const by = Math.min(loan.amount, surplus);
     share.returnBorrowed(loan, by, now);
     surplus -= by;
--- a/src/decisions/budgets/seat_shares.ts
+++ b/src/decisions/budgets/seat_shares.ts
@@ -147,7 +147,7 @@
     return this.#minOverLayouts(now, holdMs, (seat, layout) => {
       const seats = layout.byZone.get(zone) ?? 0;
       if (seat.zone !== zone || seat.index >= seats) return 0;
-      return Math.floor(evenUnits(total, seat.index, seats) * seat.part);
+      return Math.floor(evenShare(total, seat.index, seats) * seat.part);
     });
   }
 
@@ -188,7 +188,7 @@
 }
 
 /** A seat's share of `total` whole units, split evenly over `count` seats. */
-export function evenUnits(total: number, index: number, count: number): number {
+export function evenShare(total: number, index: number, count: number): number {
   return Math.floor(total / count) + (index < total % count ? 1 : 0);
 }
 
--- a/src/decisions/budgets/slot_budgets.ts
+++ b/src/decisions/budgets/slot_budgets.ts
@@ -25,8 +25,8 @@
 import type {
   BudgetPeer,
   BudgetTable,
+  InstanceIncarnation,
   LenderAnswer,
-  Party,
 } from "./budget_table.ts";
 import { needsReport, toHeldLoan } from "./held_loan.ts";
 import { invariant } from "./invariant.ts";
@@ -37,11 +37,11 @@
 
 /** Dependencies of the slot budgets. */
 export interface SlotBudgetsDeps {
-  readonly self: BudgetPeer & Party;
+  readonly self: BudgetPeer & InstanceIncarnation;
   readonly shares: SeatShares;
   readonly peers: () => readonly BudgetPeer[];
   /** Minimum time, in milliseconds, that a seat is unused between holders. */
-  readonly restMs: () => number;
+  readonly seatVacancyMs: () => number;
   /** This instance's current number of requests in flight at an endpoint. */
   readonly inFlight: (endpoint: EndpointId) => number;
 }
@@ -96,7 +96,7 @@
   }
 
   /** Records how many more slots are wanted. */
-  want(endpoint: EndpointId, wanted: number): void {
+  setWanted(endpoint: EndpointId, wanted: number): void {
     const row = this.#rows.get(endpoint);
     if (row !== undefined) row.wanted = wanted;
   }
@@ -105,7 +105,7 @@
     this.#lending = false;
   }
 
-  lends(now: number): boolean {
+  hasLentLoans(now: number): boolean {
     return [...this.#rows.values()].some((row) => row.book.lentTotal(now) > 0);
   }
 
@@ -143,7 +143,7 @@
     return asks;
   }
 
-  answer(ask: BudgetAsk, from: Party, now: number): LenderAnswer {
+  answer(ask: BudgetAsk, from: InstanceIncarnation, now: number): LenderAnswer {
     const row = this.#rows.get(ask.key as EndpointId);
     if (row === undefined) return { grants: [] };
     const grants = ask.held.flatMap((h) => this.#report(row, h, from, now));
@@ -152,7 +152,12 @@
     return { grants };
   }
 
-  accept(grant: BudgetGrant, from: Party, end: number, now: number): void {
+  accept(
+    grant: BudgetGrant,
+    from: InstanceIncarnation,
+    end: number,
+    now: number,
+  ): void {
     const row = this.#rows.get(grant.key as EndpointId);
     if (row === undefined) return;
     const { id, amount } = grant;
@@ -184,7 +189,7 @@
 
   /** How long a seat's slots stay on hold after the seat has changed holder. */
   #seatHoldMs(): number {
-    return Math.max(0, this.holdMs() - this.#deps.restMs());
+    return Math.max(0, this.holdMs() - this.#deps.seatVacancyMs());
   }
 
   #limit(row: SlotRow, now: number): number {
@@ -242,7 +247,7 @@
   #report(
     row: SlotRow,
     held: HeldLoan,
-    from: Party,
+    from: InstanceIncarnation,
     now: number,
   ): BudgetGrant[] {
     if (held.lenderIncarnation !== this.#deps.self.incarnation) return [];
@@ -273,7 +278,7 @@
   #lend(
     row: SlotRow,
     ask: BudgetAsk,
-    from: Party,
+    from: InstanceIncarnation,
     now: number,
   ): BudgetGrant | undefined {
     if (!this.#lending) return undefined;
--- a/src/decisions/budgets/testing/lend_model.ts
+++ b/src/decisions/budgets/testing/lend_model.ts
@@ -14,7 +14,7 @@
 import { type BudgetPart, BudgetPartSchema } from "../../../gen/budget_pb.ts";
 import type { SeatDirectory } from "../../../membership/mod.ts";
 import { BudgetExchange } from "../budget_exchange.ts";
-import { invariant, ROUNDING } from "../invariant.ts";
+import { EPSILON, invariant } from "../invariant.ts";
 import { MAX_DRIFT } from "../lease.ts";
 import { RateBudgets } from "../rate_budgets.ts";
 import { SeatShares } from "../seat_shares.ts";
@@ -127,7 +127,7 @@
       self,
       shares,
       peers: () => [],
-      restMs: () => 0,
+      seatVacancyMs: () => 0,
     });
     this.exchange = new BudgetExchange({ self, clock: this.clock, shares });
     this.exchange.register(this.budgets);
@@ -135,7 +135,7 @@
   }
 
   get row() {
-    return this.budgets.open(ACCOUNT, this.clock.now())!;
+    return this.budgets.activate(ACCOUNT, this.clock.now())!;
   }
 }
 
@@ -186,10 +186,10 @@
     );
     const sum = (of: (s: typeof both[number]) => number) =>
       both.reduce((n, s) => n + of(s), 0);
-    invariant(sum((s) => s.fraction) <= 1 + ROUNDING, "rate exceeds the total");
-    invariant(sum((s) => s.room) <= 1 + ROUNDING, "burst exceeds the total");
+    invariant(sum((s) => s.fraction) <= 1 + EPSILON, "rate exceeds the total");
+    invariant(sum((s) => s.room) <= 1 + EPSILON, "burst exceeds the total");
     invariant(
-      sum((s) => s.tokens) <= BURST + ROUNDING,
+      sum((s) => s.tokens) <= BURST + EPSILON,
       "tokens exceed the burst",
     );
   }
@@ -217,7 +217,7 @@
   #ask(what: { wanted: number; tokens: number }): void {
     const { budgets, clock, exchange, row } = this.#borrower;
     const now = clock.now();
-    const ask = budgets.askNow(row, "lender", { ...what, now });
+    const ask = budgets.immediateAsk(row, "lender", { ...what, now });
     this.#send("lender", exchange.call("lender", ask).part);
   }
 
--- a/src/decisions/budgets/patience.ts
+++ b/src/decisions/budgets/wait_policy.ts
@@ -59,7 +59,7 @@
   const limitMs = at.leftMs * MAX_WAIT_FRACTION;
   if (at.bestMs > limitMs) return false;
   if (at.waitMs <= Math.min(SHORT_WAIT_MS, limitMs)) return true;
-  if (at.scarceForMs > SHARE_MOVE_MS && isOver(at)) return false;
+  if (at.scarceForMs > SHARE_MOVE_MS && exceedsRate(at)) return false;
   if (at.scarceForMs > RECLAIM_MS && at.waitMs > limitMs) return false;
   return true;
 }
@@ -68,7 +68,7 @@
  * Whether an account's demand exceeds its rate beyond noise. An exponential
  * average varies as a count over twice its time constant.
  */
-export function isOver(
+export function exceedsRate(
   { fleetDemand, ratePerS }: Pick<Shortage, "fleetDemand" | "ratePerS">,
 ): boolean {
   const expectedCount = ratePerS * 2 * DEMAND_TIME_CONSTANT_MS / MS_PER_S;
@@ -77,6 +77,6 @@
 }
 
 /** The longest that a request may wait for a token, in milliseconds. */
-export function patienceMs(leftMs: number): number {
+export function maxWaitMs(leftMs: number): number {
   return leftMs * MAX_WAIT_FRACTION;
 }
--- a/src/decisions/limits/borrow_rounds.ts
+++ b/src/decisions/limits/borrow_rounds.ts
@@ -9,7 +9,7 @@
  * @module
  */
 import type { Clock } from "../../core/mod.ts";
-import { askEach, askTokens } from "../budgets/ask_plan.ts";
+import { amountPerPeer, planTokenAsks } from "../budgets/ask_plan.ts";
 import type { BudgetPeer } from "../budgets/budget_table.ts";
 import type { RateBudgets } from "../budgets/rate_budgets.ts";
 import type { RateRow } from "../budgets/rate_row.ts";
@@ -69,17 +69,24 @@
     const [group, ...rest] = groups;
     const { budgets, clock, lenders } = this.#deps;
     const now = clock.now();
-    const missing = budgets.tokensWanted(row, now);
+    const missing = budgets.missingTokens(row, now);
     if (group === undefined || missing === 0) {
       this.#running.delete(row);
       this.#deps.onEnd(row);
       return;
     }
-    const requests = askTokens(missing, group, this.#rotation);
+    const requests = planTokenAsks(missing, group, this.#rotation);
     let pending = requests.length;
     for (const { peer, tokens } of requests) {
-      const wanted = askEach(budgets.want(row, now), requests.length);
-      const ask = budgets.askNow(row, peer.instance, { wanted, tokens, now });
+      const wanted = amountPerPeer(
+        budgets.missingFraction(row, now),
+        requests.length,
+      );
+      const ask = budgets.immediateAsk(row, peer.instance, {
+        wanted,
+        tokens,
+        now,
+      });
       lenders.borrow(peer, ask, () => {
         pending -= 1;
         if (pending === 0) this.#askGroup(row, rest);
--- a/src/decisions/limits/leased_limiter.ts
+++ b/src/decisions/limits/leased_limiter.ts
@@ -15,7 +15,7 @@
 } from "../../core/mod.ts";
 import type { SteeringDocument } from "../../document/mod.ts";
 import { LEASE_MS } from "../budgets/lease.ts";
-import { isOver, mayWait, patienceMs } from "../budgets/patience.ts";
+import { exceedsRate, maxWaitMs, mayWait } from "../budgets/wait_policy.ts";
 import type { RateBudgets } from "../budgets/rate_budgets.ts";
 import type { RateRow } from "../budgets/rate_row.ts";
 import type { BorrowRounds } from "./borrow_rounds.ts";
@@ -79,9 +79,9 @@
     opts: TakeOptions,
   ): Promise<Result<void, Failure>> {
     const now = this.#clock.now();
-    const row = this.#budgets.open(account, now);
+    const row = this.#budgets.activate(account, now);
     if (row === undefined) return Promise.resolve(rateMissing(account));
-    row.share.demand.hit(now);
+    row.share.demand.countAttempt(now);
     if (row.waiting === 0 && row.share.take(now)) return this.#admitted;
     return new Promise((settle) => this.#wait(row, opts, settle));
   }
@@ -108,7 +108,7 @@
     const now = this.#clock.now();
     const refusal = this.#refusal(queue, row.waiting + 1, deadline);
     if (refusal !== undefined) return settle(refusal);
-    const waiter = { deadline: now + patienceMs(deadline - now), settle };
+    const waiter = { deadline: now + maxWaitMs(deadline - now), settle };
     queue.waiters.push(waiter);
     row.waiting = queue.waiters.length;
     signal?.addEventListener("abort", () => this.#cancel(queue, waiter), {
@@ -163,7 +163,7 @@
     if (queue.waiters.length === 0) {
       const { ratePerS } = row.share.total;
       const fleetDemand = this.#budgets.fleetDemand(row, now);
-      const lent = shareGrown && !isOver({ fleetDemand, ratePerS });
+      const lent = shareGrown && !exceedsRate({ fleetDemand, ratePerS });
       if (lent) queue.scarceSince = undefined;
       return;
     }
@@ -176,7 +176,7 @@
   #serveQueue(queue: Queue): void {
     const { row } = queue;
     const now = this.#clock.now();
-    if (this.#budgets.open(row.account, now) !== row) return;
+    if (this.#budgets.activate(row.account, now) !== row) return;
     const served: Waiter[] = [];
     const expired: Waiter[] = [];
     const waiting: Waiter[] = [];
--- a/src/decisions/steering/slot_limits.ts
+++ b/src/decisions/steering/slot_limits.ts
@@ -6,7 +6,7 @@
 import type { EndpointId } from "../../core/mod.ts";
 import type { EndpointEntry, SteeringDocument } from "../../document/mod.ts";
 import type { SeatDirectory } from "../../membership/mod.ts";
-import { evenUnits, type SlotBudgets } from "../budgets/mod.ts";
+import { evenShare, type SlotBudgets } from "../budgets/mod.ts";
 
 /** Shares of endpoints' slots; all instances' shares never exceed the total. */
 export interface SlotLimits {
@@ -48,7 +48,7 @@
       .filter((s) => s.zone === entry.zone)
       .reduce(
         (n, s) =>
-          n + Math.floor(evenUnits(entry.slots, s.index, seatCount) * s.part),
+          n + Math.floor(evenShare(entry.slots, s.index, seatCount) * s.part),
         0,
       );
   }
@@ -76,6 +76,6 @@
     endpoint: EndpointId,
     { wanted }: { inFlight: number; wanted: number },
   ): void {
-    this.#budgets.want(endpoint, wanted);
+    this.#budgets.setWanted(endpoint, wanted);
   }
 }
--- a/src/instance/fleet_budgets.ts
+++ b/src/instance/fleet_budgets.ts
@@ -14,7 +14,7 @@
 import {
   BudgetExchange,
   type BudgetPeer,
-  type Party,
+  type InstanceIncarnation,
   RateBudgets,
   SeatShares,
   SlotBudgets,
@@ -40,7 +40,7 @@
 
 /** What an instance's budgets need. */
 export interface FleetBudgetsDeps {
-  readonly self: BudgetPeer & Party;
+  readonly self: BudgetPeer & InstanceIncarnation;
   readonly clock: Clock;
   readonly seats: SeatDirectory;
   readonly transport: Pick<PeerTransport, "borrow">;
@@ -84,14 +84,20 @@
       self,
       shares,
       peers,
-      restMs,
-      onGrown: (account) => this.limiter.serveWaiting(account),
+      seatVacancyMs: restMs,
+      onShareGrown: (account) => this.limiter.serveWaiting(account),
       ...(log === undefined ? {} : {
-        onUnaccounted: (account, reason) =>
+        onOverallocated: (account, reason) =>
           log.event("budget_suspended", { account, reason }),
       }),
     });
-    this.#slots = new SlotBudgets({ self, shares, peers, inFlight, restMs });
+    this.#slots = new SlotBudgets({
+      self,
+      shares,
+      peers,
+      inFlight,
+      seatVacancyMs: restMs,
+    });
     this.#exchange = new BudgetExchange({ self, clock, shares });
     this.#exchange.register(this.#rates);
     this.#exchange.register(this.#slots);
@@ -173,7 +179,7 @@
     const tables = [this.#rates, this.#slots];
     for (const table of tables) table.stopLending();
     const { clock } = this.#deps;
-    while (tables.some((table) => table.lends(clock.now()))) {
+    while (tables.some((table) => table.hasLentLoans(clock.now()))) {
       await sleep(clock, LENT_CHECK_MS);
     }
   }
--- a/src/instance/testing/budget_fleet.ts
+++ b/src/instance/testing/budget_fleet.ts
@@ -19,7 +19,7 @@
   SilentLog,
   type ZoneId,
 } from "../../core/mod.ts";
-import { invariant, ROUNDING } from "../../decisions/budgets/mod.ts";
+import { EPSILON, invariant } from "../../decisions/budgets/mod.ts";
 import { TokenBucket } from "../../decisions/limits/mod.ts";
 import {
   emptyDocument,
@@ -282,7 +282,7 @@
     const ratePerS = rate_per_s * (1 + MAX_DRIFT);
     const bucket = new TokenBucket({ ratePerS, burst }, 0, burst);
     return this.admitted.filter((a) => a.account === account)
-      .filter(({ at }) => !bucket.take(at, 1 - ROUNDING)).length;
+      .filter(({ at }) => !bucket.take(at, 1 - EPSILON)).length;
   }
 
   /** Asserts that no sum over all processes passes its total. */
@@ -307,10 +307,10 @@
       room += spendable.room;
       tokens += spendable.tokens;
     }
-    invariant(parts <= 1 + ROUNDING * 100, `${account}: parts of ${parts}`);
-    invariant(room <= 1 + ROUNDING * 100, `${account}: room of ${room}`);
+    invariant(parts <= 1 + EPSILON * 100, `${account}: parts of ${parts}`);
+    invariant(room <= 1 + EPSILON * 100, `${account}: room of ${room}`);
     invariant(
-      tokens <= burst + ROUNDING * 1_000,
+      tokens <= burst + EPSILON * 1_000,
       `${account}: ${tokens} tokens, more than the burst of ${burst}`,
     );
   }
