--- a/src/fleet/compact_digest.ts
+++ b/src/fleet/compact_digest.ts
@@ -64,7 +64,7 @@
  *
  * @example
  * ```ts
- * const bytes = encodeCompact(digest, { book, introduces: true });
+ * const bytes = encodeCompactDigest(digest, opts);
  * datagrams.send("compactDigest", addresses, bytes);
  * ```
  */
@@ -72,18 +72,18 @@
   digest: Digest,
   opts: {
     readonly dictionary: NameDictionary;
-    /** Whether to include the profiles of the sender and of `digest.others`. */
+    /** Whether to include the sender's profile and `digest.otherProfiles`. */
     readonly includeProfiles: boolean;
   },
 ): Uint8Array {
   const { profile } = digest;
-  const { dictionary: dictionary, includeProfiles: includeProfiles } = opts;
+  const { dictionary, includeProfiles } = opts;
   const out = new BinaryWriter();
   out.tag(FIELD.senderHash, WireType.Bit32).fixed32(hash(profile.id));
   out.tag(FIELD.flags, WireType.Varint).uint32(encodeStatus(digest));
   out.tag(FIELD.planVersion, WireType.Varint).uint64(digest.planVersion);
   out.tag(FIELD.capacity, WireType.Bit64).double(digest.capacity);
-  writeReport(out, digest, { fields: FIELD, dictionary: dictionary });
+  writeReport(out, digest, { fields: FIELD, dictionary });
   if (includeProfiles) {
     writeProfile(out, FIELD.profile, profile);
     for (const p of digest.otherProfiles) writeProfile(out, FIELD.other, p);
--- a/src/fleet/compact_digest_test.ts
+++ b/src/fleet/compact_digest_test.ts
@@ -46,18 +46,18 @@
   const dictionary = new NameDictionary();
   for (const name of names) dictionary.add(name);
   const profileOf = (key: number) => key === hash("i1") ? KNOWN : undefined;
-  return { dictionary: dictionary, profileOf };
+  return { dictionary, profileOf };
 }
 
 /** Encodes a digest without profiles. */
 function encodeWithoutProfiles(
   sent: Digest,
-  { dictionary: dictionary }: {
+  { dictionary }: {
     dictionary: NameDictionary;
   },
 ): Uint8Array {
   return encodeCompactDigest(sent, {
-    dictionary: dictionary,
+    dictionary,
     includeProfiles: false,
   });
 }
--- a/src/fleet/digest.ts
+++ b/src/fleet/digest.ts
@@ -80,7 +80,7 @@
  *
  * @example
  * ```ts
- * socket.send(encodeDigest(digest), port, host);
+ * socket.send(encodeJsonDigest(digest), port, host);
  * ```
  */
 export function encodeJsonDigest(digest: Digest): Buffer {
--- a/src/fleet/name_dictionary.ts
+++ b/src/fleet/name_dictionary.ts
@@ -32,8 +32,8 @@
    *
    * @example
    * ```ts
-   * book.learn("catalog-1");
-   * book.nameOf(hash("catalog-1")); // "catalog-1"
+   * dictionary.add("catalog-1");
+   * dictionary.nameOf(hash("catalog-1")); // "catalog-1"
    * ```
    */
   nameOf(key: number): string | undefined {
--- a/src/fleet/zone_digest.ts
+++ b/src/fleet/zone_digest.ts
@@ -97,7 +97,7 @@
     readonly includeProfiles: boolean;
   },
 ): Uint8Array {
-  const { dictionary: dictionary, includeProfiles: includeProfiles } = opts;
+  const { dictionary, includeProfiles } = opts;
   const { members } = digest;
   const out = new BinaryWriter();
   out.tag(FIELD.zone, WireType.LengthDelimited).string(digest.zone);
@@ -111,7 +111,7 @@
   for (const { profile } of includeProfiles ? members : []) {
     writeProfile(out, FIELD.profile, profile);
   }
-  writeSummedReport(out, digest, { fields: FIELD, dictionary: dictionary });
+  writeSummedReport(out, digest, { fields: FIELD, dictionary });
   return out.finish();
 }
 
