--- a/src/decisions/clients/client_site_map.ts
+++ b/src/decisions/clients/client_site_map.ts
@@ -47,7 +47,7 @@
  *
  * @example
  * ```ts
- * const map = new ClientMap();
+ * const map = new ClientSiteMap();
  * map.replace("sites/north", section);
  * while (map.rebuild(64) > 0);
  * map.siteOf("203.0.113.7");
--- a/src/decisions/lookup/entry_chooser.ts
+++ b/src/decisions/lookup/entry_chooser.ts
@@ -155,9 +155,9 @@
   #spillShare(location: CallerLocation): number {
     const known = this.#spillShares.get(location.zone);
     if (known !== undefined) return known;
-    const weight = this.#computeSpillShare(location);
-    this.#spillShares.set(location.zone, weight);
-    return weight;
+    const share = this.#computeSpillShare(location);
+    this.#spillShares.set(location.zone, share);
+    return share;
   }
 
   #computeSpillShare({ zone, region }: CallerLocation): number {
--- a/src/decisions/placement/affinity_placement.ts
+++ b/src/decisions/placement/affinity_placement.ts
@@ -92,7 +92,7 @@
   return best;
 }
 
-function maxUtilization({ priority: priority }: PlacementRequest): number {
+function maxUtilization({ priority }: PlacementRequest): number {
   return MAX_UTILIZATION[Math.min(priority, MAX_UTILIZATION.length - 1)] ??
     MAX_UTILIZATION[0];
 }
--- a/src/decisions/placement/affinity_placement_test.ts
+++ b/src/decisions/placement/affinity_placement_test.ts
@@ -158,7 +158,7 @@
   // A burst fills a primary. On another endpoint each request takes several
   // times as long and evicts that endpoint's own keys from its cache.
   const all = rows({ riga: 4 });
-  const ask = {
+  const req = {
     affinityKey: "o1",
     region: "riga" as RegionId,
     regions: ["riga" as RegionId],
@@ -168,11 +168,11 @@
     usable: () => true,
   };
   const placement = new AffinityPlacement();
-  const { primary, secondary } = new EndpointRanking().rank(all, ask);
+  const { primary, secondary } = new EndpointRanking().rank(all, req);
   const placeWith = (primaryInFlight: number, secondaryInFlight: number) => {
     primary!.inFlight = primaryInFlight;
     secondary!.inFlight = secondaryInFlight;
-    return placement.choose(all, ask);
+    return placement.choose(all, req);
   };
   t.like(placeWith(8, 0), { endpoint: primary, why: "primary" });
   t.like(placeWith(18, 0), { endpoint: primary, why: "queue" });
@@ -242,18 +242,18 @@
 test("callers of a region without endpoints get endpoints of other regions", (t) => {
   const regions = ["riga", "frankfurt", "osaka"] as RegionId[];
   const only = rows({ osaka: 3 });
-  const ask = {
+  const req = {
     affinityKey: "7",
     region: "riga" as RegionId,
     regions,
     pinned: NOTHING_PINNED,
     usable: () => true,
   };
-  const { primary, secondary } = new EndpointRanking().rank(only, ask);
+  const { primary, secondary } = new EndpointRanking().rank(only, req);
   t.true(
     primary !== undefined && secondary !== undefined && primary !== secondary,
   );
-  const none = new EndpointRanking().rank([], ask);
+  const none = new EndpointRanking().rank([], req);
   t.deepEqual(none, { primary: undefined, secondary: undefined });
 });
 
@@ -265,15 +265,15 @@
   const ranking = new EndpointRanking();
   let moved = 0;
   for (let i = 0; i < 300; i++) {
-    const ask = {
+    const req = {
       affinityKey: `o${i}`,
       region: "osaka" as RegionId,
       regions,
       pinned: NOTHING_PINNED,
       usable: () => true,
     };
-    const a = ranking.rank(before, ask);
-    const b = ranking.rank(after, ask);
+    const a = ranking.rank(before, req);
+    const b = ranking.rank(after, req);
     if (a.primary?.id !== b.primary?.id) moved++;
   }
   t.true(moved / 300 < 0.15, `${moved} of 300 moved`);
--- a/src/decisions/placement/endpoint_ranking.ts
+++ b/src/decisions/placement/endpoint_ranking.ts
@@ -85,9 +85,9 @@
     endpoints: readonly EndpointRow[],
     req: RankingRequest,
   ): Float64Array {
-    const { pinned: pinned, region } = req;
+    const { pinned, region } = req;
     let memo = this.#weights.get(endpoints);
-    if (memo?.pinned !== pinned) memo = { pinned: pinned, byRegion: new Map() };
+    if (memo?.pinned !== pinned) memo = { pinned, byRegion: new Map() };
     this.#weights.set(endpoints, memo);
     const weights = memo.byRegion.get(region) ??
       endpointWeights(endpoints, req);
@@ -101,7 +101,7 @@
   endpoints: readonly EndpointRow[],
   req: RankingRequest,
 ): Float64Array {
-  const { regions, region: from, pinned: pinned } = req;
+  const { regions, region: from, pinned } = req;
   const regionShares = regionWeights(endpoints, regions, from, pinned);
   const slots = new Map<RegionId, number>();
   for (const { region, record } of endpoints) {
--- a/src/decisions/placement/pinned_demand.ts
+++ b/src/decisions/placement/pinned_demand.ts
@@ -27,7 +27,7 @@
  *
  * @example
  * ```ts
- * boundDemand(plan.accounts).get("eu"); // 0.3: 30% of the sum of all rates
+ * pinnedDemand(plan.accounts).get("eu"); // 0.3: 30% of the sum of all rates
  * ```
  */
 export function pinnedDemand(accounts: readonly Account[]): PinnedDemand {
--- a/src/decisions/placement/retry_after_policy.ts
+++ b/src/decisions/placement/retry_after_policy.ts
@@ -42,7 +42,7 @@
       service,
       slots,
       instances,
-      meanLatencyMs: meanLatencyMs,
+      meanLatencyMs,
       limitPerS,
     } = outlook;
     const intervalMs = instances *
--- a/src/decisions/placement/weighted_round_robin.ts
+++ b/src/decisions/placement/weighted_round_robin.ts
@@ -10,7 +10,7 @@
  * Smooth weighted round robin over each route's services: a request adds each
  * service's weight to its credit, and the sum of the weights is subtracted from
  * the highest credit, whose service is selected. Random selection would deviate
- * by several percent over the few hundred requests in which operators check it.
+ * by several percent over the few hundred requests of an operator's check.
  */
 export class WeightedRoundRobin {
   readonly #credits = new Map<string, Map<ServiceId, number>>();
@@ -18,7 +18,7 @@
   /**
    * @example
    * ```ts
-   * const service = choice.next(route);
+   * const service = roundRobin.next(route);
    * ```
    */
   next(route: Route): ServiceId | undefined {
--- a/src/decisions/starting/start_gate.ts
+++ b/src/decisions/starting/start_gate.ts
@@ -60,7 +60,7 @@
    *
    * @example
    * ```ts
-   * if (!gate.isOpen) await gate.pass({ clientTimeoutMs: 2_000, signal });
+   * if (!gate.isOpen) await gate.wait({ clientTimeoutMs: 2_000, signal });
    * ```
    */
   wait({ clientTimeoutMs, signal }: EarlyRequest): Promise<void> {
