--- a/src/decisions/regions/region_dispatcher.ts
+++ b/src/decisions/regions/region_dispatcher.ts
@@ -85,14 +85,14 @@
   }
 
   tick(now: number): void {
-    const { local, remoteCapacity: rooms } = this.#deps;
+    const { local, remoteCapacity } = this.#deps;
     local.tick(now);
     for (const service of this.#services) {
       const load = local.loadOf(service, now);
       // Without local capacity, remote capacity is requested in advance.
       const baseDemand = (load?.capacity ?? 0) === 0 ? 1 : 0;
       const waiting = load?.waiting ?? 0;
-      const running = rooms.inFlight(service);
+      const running = remoteCapacity.inFlight(service);
       this.#demand.endTick(service, Math.max(baseDemand, waiting + running));
     }
     this.retry(now);
@@ -165,14 +165,17 @@
     now: number,
     tier: (peer: RemotePeer) => boolean,
   ): Slot | undefined {
-    const { remoteCapacity: rooms, random, links, region } = this.#deps;
+    const { remoteCapacity, random, links, region } = this.#deps;
     const { service, exclude } = req;
     const accept = (peer: RemotePeer) =>
       tier(peer) && !this.#isDrained(peer) &&
       (peer.region === region || links.canSend(peer.region, now));
-    const row = rooms.choose({ service, exclude, now, accept }, random);
+    const row = remoteCapacity.choose(
+      { service, exclude, now, accept },
+      random,
+    );
     if (row === undefined) return undefined;
-    rooms.take(service, row, now);
+    remoteCapacity.take(service, row, now);
     const { peer } = row;
     let held = true;
     return {
@@ -188,7 +191,7 @@
       release: (result, at) => {
         if (!held) return;
         held = false;
-        rooms.release(row, REMOTE_RESULTS[result], at);
+        remoteCapacity.release(row, REMOTE_RESULTS[result], at);
         this.retry(at);
       },
     };
@@ -208,10 +211,10 @@
    */
   #mayWaitForGrant(service: ServiceId, now: number): boolean {
     if (this.#pending.size >= MAX_PENDING) return false;
-    const { remoteCapacity: rooms } = this.#deps;
-    if (!rooms.hasFreshGrant(service, now)) return true;
+    const { remoteCapacity } = this.#deps;
+    if (!remoteCapacity.hasFreshGrant(service, now)) return true;
     const waiting = [...this.#pending].filter((p) => p.req.service === service);
-    return waiting.length < rooms.totalAllowed(service, now);
+    return waiting.length < remoteCapacity.totalAllowed(service, now);
   }
 
   #waitForGrant(
--- a/src/decisions/steering/dispatcher.ts
+++ b/src/decisions/steering/dispatcher.ts
@@ -50,7 +50,7 @@
   readonly zone: ZoneId;
   /** Set if `url` is that of an instance that forwards the request. */
   readonly forward?: ForwardRoute;
-  /** Marks the start of the response, which ends the measured duration. */
+  /** Marks the start of the response; the rest is the caller's reading pace. */
   answered(now: number): void;
   /** Releases the slot; repeated calls have no effect. */
   release(result: WorkResult, now: number): void;
--- a/src/decisions/steering/outlier_detection.ts
+++ b/src/decisions/steering/outlier_detection.ts
@@ -13,7 +13,7 @@
 import type { WorkResult } from "./dispatcher.ts";
 import { decayedLatencyRatio, type EndpointRow } from "./endpoint_row.ts";
 
-/** Consecutive failures that eject; a single one may be chance. */
+/** Consecutive failures that eject: one may be chance, five hardly. */
 const EJECT_CONSECUTIVE_FAILURES = 5;
 /** Allows one ejection in a pool of two and none in a pool of one. */
 const MAX_EJECTED_RATIO = 0.5;
