--- a/src/decisions/endpoint_limits/endpoint_rate_limiter_test.ts
+++ b/src/decisions/endpoint_limits/endpoint_rate_limiter_test.ts
@@ -192,7 +192,7 @@
   t.true(sent >= 4 && sent <= 14, `${sent}`);
 });
 
-// Guards against less urgent requests that use up a limit.
+// Guards against less urgent requests that use up a limit before urgent ones.
 test("within a limit the most urgent requests are admitted more often", (t) => {
   const { demand, limiter } = singleInstance();
   const random = new SeededRandom(5);
--- a/src/decisions/quotas/ewma_rate.ts
+++ b/src/decisions/quotas/ewma_rate.ts
@@ -12,7 +12,7 @@
   #perS = 0;
   #updatedAt = 0;
 
-  /** @param timeConstantMs Age at which an event counts for 1/e of a new one. */
+  /** @param timeConstantMs Age at which an event has a weight of 1/e. */
   constructor(timeConstantMs: number) {
     this.#timeConstantMs = timeConstantMs;
   }
--- a/src/decisions/retries/retry_policy.ts
+++ b/src/decisions/retries/retry_policy.ts
@@ -21,7 +21,7 @@
   readonly deadline: number;
 }
 
-/** After three endpoints in a row failed it, the request is the likely cause. */
+/** After three endpoints failed a request, it is likely the cause itself. */
 const MAX_ATTEMPTS = 3;
 /**
  * The next attempt goes to another endpoint, so the first backoff only spreads
