--- a/src/admin/access.ts
+++ b/src/admin/access.ts
@@ -1,5 +1,5 @@
 /**
- * Who may do what through the administration API.
+ * Authentication and authorization for the administration API.
  *
  * @module
  */
@@ -11,73 +11,75 @@
   type SteeringDocument,
 } from "../document/mod.ts";
 
-/** A role that a request's token stands for. */
+/** The role of an authenticated request. */
 export interface Role {
   readonly name: string;
   /** Section names or kinds; `*` means all. */
   readonly edits: readonly string[];
 }
 
-/** What roles are looked up in. */
+/** Where roles are looked up. */
 export interface AccessDeps {
   readonly document: () => SteeringDocument;
-  /** Digest of a token that edits all while the document has no role. */
+  /** Digest of a token that may edit everything while the document has no role. */
   readonly bootstrapSha256?: string | undefined;
 }
 
 const BEARER = /^Bearer ([\x21-\x7e]{1,512})$/;
-const EVERYTHING = "*";
+const ALL_SECTIONS = "*";
 
 /**
- * The role for an `Authorization` header's value; `unauthenticated` if none.
+ * Returns the role for an `Authorization` header's value; `unauthenticated` if
+ * there is none.
  *
- * Digests are compared as map keys: how long that takes tells nothing of the
- * token, of which only the digest is looked at.
+ * Only digests are compared, so that the time it takes reveals nothing about
+ * the token.
  */
-export function roleOf(
+export function authenticate(
   deps: AccessDeps,
   authorization: string | undefined,
 ): Result<Role, Failure> {
   const token = BEARER.exec(authorization ?? "")?.[1];
   if (token === undefined) {
-    return fail("unauthenticated", "no bearer token came with the request");
+    return fail("unauthenticated", "the request has no bearer token");
   }
   const digest = sha256(token);
   const roles = Object.entries(deps.document().roles);
   if (roles.length === 0 && digest === deps.bootstrapSha256) {
-    return ok({ name: "bootstrap", edits: [EVERYTHING] });
+    return ok({ name: "bootstrap", edits: [ALL_SECTIONS] });
   }
   const found = roles.find(([, role]) => role.token_sha256 === digest);
   if (found === undefined) {
-    return fail("unauthenticated", "the token stands for no role");
+    return fail("unauthenticated", "the token belongs to no role");
   }
   return ok({ name: found[0], edits: found[1].edits });
 }
 
 /**
- * Whether a role may edit a section: it names the section, or its kind and no
- * other role names the section, or it may edit everything.
+ * Checks that a role may edit a section: it names the section, or names the
+ * section's kind and no other role names the section, or may edit everything.
  *
  * @example
  * ```ts
- * const allowed = mayEdit(document, role, name);
+ * const allowed = authorizeEdit(document, role, name);
  * if (allowed.isErr()) return refuse(res, allowed.error);
  * ```
  */
-export function mayEdit(
+export function authorizeEdit(
   document: SteeringDocument,
   role: Role,
   name: SectionName,
 ): Result<void, Failure> {
-  const own = role.edits.includes(name) || role.edits.includes(EVERYTHING);
-  if (own) return ok(undefined);
+  const granted = role.edits.includes(name) ||
+    role.edits.includes(ALL_SECTIONS);
+  if (granted) return ok(undefined);
   const owner = Object.entries(document.roles)
     .find(([, other]) => other.edits.includes(name));
   if (owner === undefined && role.edits.includes(kindOf(name))) {
     return ok(undefined);
   }
-  const whose = owner === undefined ? "" : `; it belongs to ${owner[0]}`;
-  return fail("forbidden", `role ${role.name} may not edit ${name}${whose}`, {
+  const note = owner === undefined ? "" : `; it belongs to ${owner[0]}`;
+  return fail("forbidden", `role ${role.name} may not edit ${name}${note}`, {
     path: [name],
   });
 }
--- a/src/admin/admin_app.ts
+++ b/src/admin/admin_app.ts
@@ -1,5 +1,5 @@
 /**
- * The administration API, on a listener of its own.
+ * The Express application of the administration API, on its own listener.
  *
  * @module
  */
@@ -10,43 +10,46 @@
   type Response,
 } from "express";
 import { failure } from "../core/mod.ts";
-import { type AccessDeps, type Role, roleOf } from "./access.ts";
-import { sendFailure } from "./answers.ts";
+import { type AccessDeps, authenticate, type Role } from "./access.ts";
+import { sendFailure } from "./responses.ts";
 import { ADMIN_ROUTES, type AdminRoute, type RouteDeps } from "./routes.ts";
 
-/** What the administration API needs. */
+/** Dependencies of the administration API. */
 export type AdminAppDeps = RouteDeps & AccessDeps;
 
 const MAX_SECTION_BODY = "20mb";
-const NOBODY: Role = { name: "nobody", edits: [] };
+const ANONYMOUS_ROLE: Role = { name: "nobody", edits: [] };
 
-/** Builds the administration API's express application. */
 export function adminApp(deps: AdminAppDeps): Express {
   const app = express();
   app.disable("x-powered-by");
   app.disable("etag");
-  for (const route of ADMIN_ROUTES) addRoute(app, deps, route);
+  for (const route of ADMIN_ROUTES) registerRoute(app, deps, route);
   app.use((_req: Request, res: Response) => {
     sendFailure(res, failure("not_found", "no such path"));
   });
-  app.use(sendThrown);
+  app.use(errorHandler);
   return app;
 }
 
-/** Who calls is known before a byte of the body is read. */
-function addRoute(app: Express, deps: AdminAppDeps, route: AdminRoute): void {
-  const parse = route.section
+/** Authenticates the caller before any of the body is read. */
+function registerRoute(
+  app: Express,
+  deps: AdminAppDeps,
+  route: AdminRoute,
+): void {
+  const parsers = route.section
     ? [express.json({ limit: MAX_SECTION_BODY, strict: false })]
     : [];
-  const authenticate = (req: Request, res: Response, next: NextFunction) => {
+  const requireRole = (req: Request, res: Response, next: NextFunction) => {
     if (route.access === "none") return next();
-    const role = roleOf(deps, req.headers.authorization);
+    const role = authenticate(deps, req.headers.authorization);
     if (role.isErr()) return sendFailure(res, role.error);
     res.locals["role"] = role.value;
     next();
   };
-  app[route.method](route.path, authenticate, ...parse, async (req, res) => {
-    const role = res.locals["role"] as Role | undefined ?? NOBODY;
+  app[route.method](route.path, requireRole, ...parsers, async (req, res) => {
+    const role = res.locals["role"] as Role | undefined ?? ANONYMOUS_ROLE;
     const reply = await route.handle(deps, { req, res, role });
     if (reply.isErr()) return sendFailure(res, reply.error);
     const { status = 200, etag, body } = reply.value;
@@ -55,8 +58,8 @@
   });
 }
 
-/** What the body parser throws, as a typed refusal. */
-function sendThrown(
+/** Turns errors thrown by the body parser or a handler into typed failures. */
+function errorHandler(
   cause: unknown,
   _req: Request,
   res: Response,
--- a/src/admin/admin_app_test.ts
+++ b/src/admin/admin_app_test.ts
@@ -22,7 +22,7 @@
   all: ["*"],
 };
 
-interface Answer {
+interface ApiResponse {
   readonly status: number;
   readonly etag: string | null;
   // deno-lint-ignore no-explicit-any
@@ -74,7 +74,7 @@
     method: string,
     path: string,
     { token, body, raw, headers }: CallOptions = {},
-  ): Promise<Answer> => {
+  ): Promise<ApiResponse> => {
     const sent = raw ?? (body === undefined ? null : JSON.stringify(body));
     const res = await fetch(listener.url + path, {
       method,
@@ -114,18 +114,18 @@
 const CREATE = { "if-none-match": "*" };
 const ACCOUNTS = { accounts: { a1: {} } };
 
-test("an empty document is begun with the bootstrap token, once", async (t) => {
+test("the bootstrap token is valid only until the document has a role", async (t) => {
   const { call, access } = await setup(t, {});
-  const begin = { token: BOOTSTRAP, headers: CREATE };
+  const bootstrap = { token: BOOTSTRAP, headers: CREATE };
   const first = await call("PUT", "/v1/sections/access", {
-    ...begin,
+    ...bootstrap,
     body: {
       roles: { all: { token_sha256: sha256("all-token"), edits: ["*"] } },
     },
   });
   t.is(first.status, 200, JSON.stringify(first.body));
   const again = await call("PUT", "/v1/sections/accounts", {
-    ...begin,
+    ...bootstrap,
     body: ACCOUNTS,
   });
   t.is(again.status, 401);
@@ -134,16 +134,16 @@
   t.deepEqual(access, { roles: {} });
 });
 
-test("a section is read and edited on its version", async (t) => {
+test("a section's version is its entity tag for reads and edits", async (t) => {
   const { call } = await setup(t, ROLES);
   const token = "security-token";
   const path = "/v1/sections/accounts";
-  const made = await call("PUT", path, {
+  const created = await call("PUT", path, {
     token,
     headers: CREATE,
     body: ACCOUNTS,
   });
-  t.is(made.etag, '"2"');
+  t.is(created.etag, '"2"');
   const read = await call("GET", path, { token: "rates-token" });
   t.deepEqual([read.body, read.etag], [ACCOUNTS, '"2"']);
   const edited = await call("PUT", path, {
@@ -155,9 +155,9 @@
   t.is(edited.body.generation, 3);
 });
 
-test("the loser of a race gets 412 and the other change", async (t) => {
-  // Two teams hold version 2 of a section. Without the condition the later
-  // one would undo the earlier one unseen.
+test("the later of two concurrent edits gets 412 and the change that won", async (t) => {
+  // Two teams edit from version 2 of a section. Without the condition the later
+  // write would silently overwrite the earlier one.
   const { call } = await setup(t, ROLES);
   const path = "/v1/sections/accounts";
   const put = (token: string, headers: Record<string, string>) =>
@@ -178,7 +178,7 @@
   readonly code: string;
 }
 
-const S = "/v1/sections";
+const SECTIONS_PATH = "/v1/sections";
 const REFUSALS: RefusalRow[] = [
   {
     name: "no token",
@@ -189,7 +189,7 @@
     code: "unauthenticated",
   },
   {
-    name: "a token of no role",
+    name: "a token that belongs to no role",
     method: "GET",
     path: "/v1/status",
     opts: { token: "guess" },
@@ -197,9 +197,9 @@
     code: "unauthenticated",
   },
   {
-    name: "the bootstrap token where there are roles",
+    name: "the bootstrap token once there are roles",
     method: "PUT",
-    path: `${S}/accounts`,
+    path: `${SECTIONS_PATH}/accounts`,
     opts: { token: BOOTSTRAP, headers: CREATE, body: ACCOUNTS },
     status: 401,
     code: "unauthenticated",
@@ -207,15 +207,15 @@
   {
     name: "another team's section",
     method: "PUT",
-    path: `${S}/accounts`,
+    path: `${SECTIONS_PATH}/accounts`,
     opts: { token: "rates-token", headers: CREATE, body: ACCOUNTS },
     status: 403,
     code: "forbidden",
   },
   {
-    name: "a part that another team names, by the owner of the kind",
+    name: "a section part that another role names, by the owner of the kind",
     method: "PUT",
-    path: `${S}/services/crewdesk`,
+    path: `${SECTIONS_PATH}/services/crewdesk`,
     opts: {
       token: "services-token",
       headers: CREATE,
@@ -233,9 +233,9 @@
     code: "forbidden",
   },
   {
-    name: "the roles themselves, by one who does not own them",
+    name: "the access section, by a role that does not own it",
     method: "DELETE",
-    path: `${S}/access`,
+    path: `${SECTIONS_PATH}/access`,
     opts: { token: "crew-token", headers: { "if-match": '"1"' } },
     status: 403,
     code: "forbidden",
@@ -243,23 +243,23 @@
   {
     name: "an edit without a version",
     method: "PUT",
-    path: `${S}/accounts`,
+    path: `${SECTIONS_PATH}/accounts`,
     opts: { token: "all-token", body: ACCOUNTS },
     status: 428,
     code: "precondition_required",
   },
   {
-    name: "a section that is wrong",
+    name: "a section with an unknown key",
     method: "PUT",
-    path: `${S}/accounts`,
+    path: `${SECTIONS_PATH}/accounts`,
     opts: { token: "all-token", headers: CREATE, body: { acounts: {} } },
     status: 422,
     code: "bad_section",
   },
   {
-    name: "a section that contradicts the others",
+    name: "a section that names an unknown account",
     method: "PUT",
-    path: `${S}/rates`,
+    path: `${SECTIONS_PATH}/rates`,
     opts: {
       token: "rates-token",
       headers: CREATE,
@@ -271,15 +271,15 @@
   {
     name: "a body that is not JSON",
     method: "PUT",
-    path: `${S}/accounts`,
+    path: `${SECTIONS_PATH}/accounts`,
     opts: { token: "all-token", headers: CREATE, raw: "{" },
     status: 400,
     code: "bad_request",
   },
   {
-    name: "a body of another type, which must not pass for a removal",
+    name: "a body of another media type, which must not count as a removal",
     method: "PUT",
-    path: `${S}/access`,
+    path: `${SECTIONS_PATH}/access`,
     opts: {
       token: "all-token",
       headers: { "if-match": '"1"', "content-type": "text/plain" },
@@ -289,23 +289,23 @@
     code: "bad_request",
   },
   {
-    name: "a kind of section that there is not",
+    name: "an unknown kind of section",
     method: "GET",
-    path: `${S}/ratess`,
+    path: `${SECTIONS_PATH}/ratess`,
     opts: { token: "all-token" },
     status: 400,
     code: "bad_request",
   },
   {
-    name: "a section that there is not",
+    name: "a section that does not exist",
     method: "GET",
-    path: `${S}/rates`,
+    path: `${SECTIONS_PATH}/rates`,
     opts: { token: "all-token" },
     status: 404,
     code: "not_found",
   },
   {
-    name: "a drain of a zone that there is not",
+    name: "a drain of an unknown zone",
     method: "PUT",
     path: "/v1/drains/zone/gulf-a",
     opts: { token: "services-token" },
@@ -315,24 +315,24 @@
 ];
 
 for (const row of REFUSALS) {
-  test(`refused as data: ${row.name}`, async (t) => {
+  test(`refused with a typed failure: ${row.name}`, async (t) => {
     const { call } = await setup(t, ROLES);
-    const answer = await call(row.method, row.path, row.opts);
-    t.is(answer.status, row.status, JSON.stringify(answer.body));
-    t.is(answer.body.code, row.code);
-    const sections = await call("GET", S, { token: "all-token" });
+    const response = await call(row.method, row.path, row.opts);
+    t.is(response.status, row.status, JSON.stringify(response.body));
+    t.is(response.body.code, row.code);
+    const sections = await call("GET", SECTIONS_PATH, { token: "all-token" });
     t.is(sections.body.generation, 1);
   });
 }
 
-test("a team edits the part that it names", async (t) => {
+test("a role may edit the section part that it names", async (t) => {
   const { call } = await setup(t, ROLES);
-  const made = await call("PUT", `${S}/services/crewdesk`, {
+  const created = await call("PUT", `${SECTIONS_PATH}/services/crewdesk`, {
     token: "crew-token",
     headers: CREATE,
     body: { services: { crewdesk: {} } },
   });
-  t.is(made.status, 200, JSON.stringify(made.body));
+  t.is(created.status, 200, JSON.stringify(created.body));
 });
 
 test("drains are added, listed and removed", async (t) => {
@@ -346,26 +346,26 @@
   t.is((await call("DELETE", path, { token })).status, 404);
 });
 
-test("a store that is down is told as such, and liveness holds", async (t) => {
-  // The store is out of reach. An orchestrator that took the instance for dead
-  // would end it while it still serves callers.
+test("a store outage is reported, and the probes still pass", async (t) => {
+  // If the probes failed with the store, an orchestrator would kill an instance
+  // that still serves callers.
   const { call, platform } = await setup(t, ROLES);
   platform.faults.down = true;
-  const read = await call("GET", S, { token: "all-token" });
+  const read = await call("GET", SECTIONS_PATH, { token: "all-token" });
   t.is(read.status, 503);
   t.is(read.body.code, "platform_unavailable");
   t.is((await call("GET", "/livez")).status, 200);
   t.is((await call("GET", "/readyz")).status, 200);
 });
 
-test("every route but the probes asks for a token", async (t) => {
+test("every route but the probes requires a token", async (t) => {
   const { call } = await setup(t, ROLES);
   for (const route of ADMIN_ROUTES) {
-    const answer = await call(
+    const response = await call(
       route.method.toUpperCase(),
       route.path.replaceAll(/:\w+/g, "x"),
     );
-    const open = ["/livez", "/readyz"].includes(route.path);
-    t.is(answer.status, open ? 200 : 401, route.path);
+    const isProbe = ["/livez", "/readyz"].includes(route.path);
+    t.is(response.status, isProbe ? 200 : 401, route.path);
   }
 });
--- a/src/admin/bootstrap_test.ts
+++ b/src/admin/bootstrap_test.ts
@@ -15,7 +15,7 @@
 const BOOTSTRAP = "bootstrap-token";
 const MAX_POLLS = 400;
 
-test("the first instance on an empty platform is begun through its API", async (t) => {
+test("an empty platform is set up through the first instance's API", async (t) => {
   const clock = new SystemClock();
   const cfg = parseSettings({
     instance: { id: "i1", zone: "gulf-a", region: "gulf" },
@@ -44,7 +44,7 @@
     roles: { all: { token_sha256: sha256("t"), edits: ["*"] } },
   };
   const authorization = `Bearer ${BOOTSTRAP}`;
-  const made = await status("/v1/sections/access", {
+  const created = await status("/v1/sections/access", {
     method: "PUT",
     body: JSON.stringify(access),
     headers: {
@@ -53,12 +53,12 @@
       "if-none-match": "*",
     },
   });
-  t.is(made, 200);
+  t.is(created, 200);
   for (let i = 0; i < MAX_POLLS && await status("/readyz") !== 200; i++) {
     await new Promise((resolve) => setTimeout(resolve, 25));
   }
   t.is(await status("/readyz"), 200);
   t.is(await status("/v1/status", { headers: { authorization } }), 401);
-  const own = { headers: { authorization: "Bearer t" } };
-  t.is(await status("/v1/status", own), 200);
+  const withRoleToken = { headers: { authorization: "Bearer t" } };
+  t.is(await status("/v1/status", withRoleToken), 200);
 });
--- a/src/admin/answers.ts
+++ b/src/admin/responses.ts
@@ -1,12 +1,12 @@
 /**
- * Results as answers of the administration API.
+ * HTTP responses of the administration API.
  *
  * @module
  */
 import type { Response } from "express";
 import type { Failure, FailureCode } from "../core/mod.ts";
 
-const STATUS: Partial<Record<FailureCode, number>> = {
+const STATUS_BY_CODE: Partial<Record<FailureCode, number>> = {
   bad_request: 400,
   bad_section: 422,
   bad_document: 422,
@@ -21,7 +21,7 @@
 };
 const DEFAULT_STATUS = 503;
 
-/** Answers with a failure as data. */
+/** Responds with a failure as JSON. */
 export function sendFailure(res: Response, failure: Failure): void {
   if (res.headersSent) {
     res.destroy();
@@ -31,11 +31,11 @@
     res.setHeader("www-authenticate", "Bearer");
   }
   const { code, message, path, change, issues } = failure;
-  res.status(STATUS[code] ?? DEFAULT_STATUS)
+  res.status(STATUS_BY_CODE[code] ?? DEFAULT_STATUS)
     .json({ code, message, path, change, issues });
 }
 
-/** A section's version as an entity tag. */
+/** Formats a section's version, or a generation, as an entity tag. */
 export function etagOf(version: number): string {
   return `"${version}"`;
 }
--- a/src/admin/routes.ts
+++ b/src/admin/routes.ts
@@ -1,6 +1,6 @@
 /**
- * The routes of the administration API as a table: the application is built
- * from it, and so is its OpenAPI description.
+ * The route table of the administration API, from which the application and
+ * its OpenAPI description are built.
  *
  * @module
  */
@@ -19,11 +19,11 @@
   type SteeringDocument,
 } from "../document/mod.ts";
 import type { ListedInstance, Platform } from "../store/mod.ts";
-import { mayEdit, type Role } from "./access.ts";
-import { etagOf } from "./answers.ts";
+import { authorizeEdit, type Role } from "./access.ts";
+import { etagOf } from "./responses.ts";
 import type { InstanceStatus } from "./status.ts";
 
-/** What the routes work on. */
+/** Dependencies of the route handlers. */
 export interface RouteDeps {
   readonly ready: () => boolean;
   readonly status: () => InstanceStatus;
@@ -33,41 +33,39 @@
   readonly platform: Platform;
 }
 
-/** A request that passed authentication. */
-export interface Call {
+/** A request and response, with the role that the request's token grants. */
+export interface RouteContext {
   readonly req: Request;
   readonly res: Response;
   readonly role: Role;
 }
 
-/** What a route answers: a body, with its status and entity tag. */
+/** A route's response: body, status and entity tag. */
 export interface Reply {
   readonly status?: number;
   readonly etag?: string;
   readonly body: unknown;
 }
 
-/** One route. */
 export interface AdminRoute {
   readonly method: "get" | "put" | "delete";
-  /** In express's notation. */
+  /** In Express notation. */
   readonly path: string;
   readonly id: string;
   readonly summary: string;
-  /** `none`: no token is asked for; `any`: any role; `owner`: who may edit. */
+  /** `none`: no token; `any`: any role; `owner`: a role that may edit. */
   readonly access: "none" | "any" | "owner";
   readonly query?: Readonly<Record<string, string>>;
-  /** What status 503 means, of a route that asks for no token. */
+  /** What status 503 means, for a route that requires no token. */
   readonly otherwise?: string;
-  /** Whether the request carries a section's content. */
+  /** Whether the request body is a section's content. */
   readonly section?: boolean;
   readonly handle: (
     deps: RouteDeps,
-    call: Call,
+    ctx: RouteContext,
   ) => Promise<Result<Reply, Failure>>;
 }
 
-/** Every route. */
 export const ADMIN_ROUTES: readonly AdminRoute[] = [
   {
     method: "get",
@@ -146,7 +144,7 @@
     query: {
       section: "The section the drain stands in; `drains` if not given",
     },
-    handle: (deps, call) => changeDrain(deps, call, addDrain),
+    handle: (deps, ctx) => changeDrain(deps, ctx, addDrain),
   },
   {
     method: "delete",
@@ -157,16 +155,16 @@
     query: {
       section: "The section the drain stands in; `drains` if not given",
     },
-    handle: (deps, call) => changeDrain(deps, call, removeDrain),
+    handle: (deps, ctx) => changeDrain(deps, ctx, removeDrain),
   },
 ];
 
-function sectionRoutes(path: string, what: string): AdminRoute[] {
+function sectionRoutes(path: string, idSuffix: string): AdminRoute[] {
   return [
     {
       method: "get",
       path,
-      id: `get${what}`,
+      id: `get${idSuffix}`,
       summary: "A section's content; its version is the entity tag",
       access: "any",
       handle: getSection,
@@ -174,7 +172,7 @@
     {
       method: "put",
       path,
-      id: `put${what}`,
+      id: `put${idSuffix}`,
       summary:
         "Replace a section on the version that If-Match names, or make it by If-None-Match: *",
       access: "owner",
@@ -184,19 +182,19 @@
     {
       method: "delete",
       path,
-      id: `delete${what}`,
+      id: `delete${idSuffix}`,
       summary: "Remove a section on the version that If-Match names",
       access: "owner",
-      handle: (deps, call) => writeSection(deps, call, undefined),
+      handle: (deps, ctx) => writeSection(deps, ctx, undefined),
     },
   ];
 }
 
 async function getSection(
   { store }: RouteDeps,
-  { req }: Call,
+  { req }: RouteContext,
 ): Promise<Result<Reply, Failure>> {
-  const name = nameOf(req);
+  const name = sectionNameOf(req);
   if (name.isErr()) return err(name.error);
   const manifest = await store.manifest();
   if (manifest.isErr()) return err(manifest.error);
@@ -206,57 +204,57 @@
   return content.map((body) => ({ etag: etagOf(entry.version), body }));
 }
 
-/** A body that was not read would stand for a removal, so it is refused. */
+/** Refuses an unparsed body: `undefined` would remove the section. */
 function putSection(
   deps: RouteDeps,
-  call: Call,
+  ctx: RouteContext,
 ): Promise<Result<Reply, Failure>> {
-  const value = call.req.body as unknown;
-  if (value !== undefined) return writeSection(deps, call, value);
+  const value = ctx.req.body as unknown;
+  if (value !== undefined) return writeSection(deps, ctx, value);
   const message = "send the section as application/json";
   return Promise.resolve(fail("bad_request", message));
 }
 
 async function writeSection(
   deps: RouteDeps,
-  { req, role }: Call,
+  { req, role }: RouteContext,
   value: unknown,
 ): Promise<Result<Reply, Failure>> {
-  const name = nameOf(req);
+  const name = sectionNameOf(req);
   if (name.isErr()) return err(name.error);
-  const allowed = mayEdit(deps.document(), role, name.value);
+  const allowed = authorizeEdit(deps.document(), role, name.value);
   if (allowed.isErr()) return err(allowed.error);
   const version = expectedVersion(req);
   if (version.isErr()) return err(version.error);
-  const done = await deps.store.apply({
+  const applied = await deps.store.apply({
     author: role.name,
     sections: new Map([[name.value, value]]),
     expect: new Map([[name.value, version.value]]),
   });
-  return done.map((accepted) => replyTo(accepted, name.value));
+  return applied.map((accepted) => editReply(accepted, name.value));
 }
 
 async function changeDrain(
   deps: RouteDeps,
-  { req, role }: Call,
-  change: typeof addDrain,
+  { req, role }: RouteContext,
+  edit: typeof addDrain,
 ): Promise<Result<Reply, Failure>> {
   const { kind, id } = req.params;
   const drain = DrainEntry.safeParse({ kind, id }, { reportInput: true });
   if (!drain.success) return err(fromZod("bad_request", drain.error));
   const name = SectionName.safeParse(req.query["section"] ?? DRAINS);
   if (!name.success) return err(fromZod("bad_request", name.error));
-  const allowed = mayEdit(deps.document(), role, name.data);
+  const allowed = authorizeEdit(deps.document(), role, name.data);
   if (allowed.isErr()) return err(allowed.error);
-  const done = await editSection(
+  const edited = await editSection(
     deps.store,
     role.name,
-    (now) => change(now, drain.data, name.data),
+    (current) => edit(current, drain.data, name.data),
   );
-  return done.map((accepted) => replyTo(accepted, name.data));
+  return edited.map((accepted) => editReply(accepted, name.data));
 }
 
-function replyTo(accepted: AcceptedDocument, name: SectionName): Reply {
+function editReply(accepted: AcceptedDocument, name: SectionName): Reply {
   const { generation, sections } = accepted.manifest;
   const version = sections[name]?.version;
   return {
@@ -265,7 +263,7 @@
   };
 }
 
-function nameOf(req: Request): Result<SectionName, Failure> {
+function sectionNameOf(req: Request): Result<SectionName, Failure> {
   const { kind, part } = req.params;
   const name = part === undefined ? kind : `${kind}/${part}`;
   const parsed = SectionName.safeParse(name, { reportInput: true });
@@ -274,8 +272,8 @@
 }
 
 /**
- * The version an edit was made on. An edit without one could undo a change
- * that its author never saw, so it is refused.
+ * The section version that an edit is based on. An edit without one could
+ * silently overwrite a concurrent change, so it is refused.
  */
 function expectedVersion(req: Request): Result<number, Failure> {
   if (req.headers["if-none-match"] === "*") return ok(0);
--- a/src/admin/status.ts
+++ b/src/admin/status.ts
@@ -1,5 +1,5 @@
 /**
- * What an instance says of itself.
+ * The status that an instance reports through the administration API.
  *
  * @module
  */
@@ -7,19 +7,19 @@
 import type { DrainProgress } from "../decisions/drains/mod.ts";
 import type { HeldSeat } from "../membership/mod.ts";
 
-/** What an instance says of itself. */
 export interface InstanceStatus {
   readonly instance: string;
   readonly zone: string;
   readonly generation: number;
-  /** What of the newest document is not in force, and why. */
+  /** Parts of the newest document that are not in force, and why. */
   readonly rejected: readonly Failure[];
-  /** How long there has been no contact with the platform; null if never. */
+  /** Time since the last contact with the platform; null if there was none. */
   readonly contact_age_ms: number | null;
   readonly seats: readonly HeldSeat[];
   /**
-   * Whether the parts of those seats are in use. A seat that changed hands
-   * rests until requests and loans of its former holder have surely ended.
+   * Whether the shares of those seats are in use. After a change of holder, a
+   * seat's share stays unused until the former holder's requests and loans have
+   * certainly ended.
    */
   readonly settled: boolean;
   readonly running: number;
@@ -28,14 +28,13 @@
   readonly drained: boolean;
   readonly drains: readonly DrainProgress[];
   readonly members: readonly string[];
-  /** Messages to other instances since the start. */
   readonly peers: PeerStatus;
 }
 
-/** Messages between instances, as one of them counts them. */
+/** Traffic with other instances since the start. */
 export interface PeerStatus {
-  /** Batches sent; as many come in from peers that send at the same pace. */
+  /** Batches sent; as many are received from peers that send at the same rate. */
   readonly batches_sent: number;
-  /** Bytes of connections that peers opened, both ways, headers included. */
+  /** Bytes in both directions on connections opened by peers, with headers. */
   readonly listener_bytes: number;
 }
--- a/src/cli/commands/document.ts
+++ b/src/cli/commands/document.ts
@@ -15,15 +15,15 @@
 import {
   type CliContext,
   type CommonOptions,
-  report,
+  reportFailure,
   withPlatform,
 } from "../context.ts";
 import { EXIT, type ExitCode } from "../exit.ts";
 import {
-  documentText,
-  readDirectory,
-  readDocument,
-  readValue,
+  formatDocument,
+  readDocumentFile,
+  readJsonOrToml,
+  readSectionDirectory,
 } from "../section_file.ts";
 
 /** Checks an exported document or a directory of sections, without a platform. */
@@ -41,7 +41,7 @@
       }
     }
     if (opts.json || !document.error.issues?.length) {
-      return report(ctx, opts, document.error);
+      return reportFailure(ctx, opts, document.error);
     }
     return EXIT.badInput;
   }
@@ -54,7 +54,7 @@
   return EXIT.ok;
 }
 
-/** Replaces one section by a file's content, on the version read before. */
+/** Replaces a section by a file's content, on `version` or else the latest. */
 export function apply(
   ctx: CliContext,
   { section, file, version }: {
@@ -67,16 +67,16 @@
   return withPlatform(ctx, opts, async ({ store, author }) => {
     const name = sectionName(section);
     if (name.isErr()) return err(name.error);
-    const value = await readValue(ctx, file);
+    const value = await readJsonOrToml(ctx, file);
     if (value.isErr()) return err(value.error);
-    const done = await store.apply({
+    const applied = await store.apply({
       author,
       sections: new Map([[name.value, value.value]]),
       ...(version === undefined
         ? {}
         : { expect: new Map([[name.value, version]]) }),
     });
-    return done.map(({ manifest }) => {
+    return applied.map(({ manifest }) => {
       const { generation } = manifest;
       ctx.out(
         opts.json
@@ -87,7 +87,7 @@
   });
 }
 
-/** Prints what sections there are, or one section's content. */
+/** Lists the sections, or prints one section's content. */
 export function show(
   ctx: CliContext,
   section: string | undefined,
@@ -106,8 +106,8 @@
     }
     const content = await store.content(entry.sha256);
     return content.map((value) => {
-      const shown = opts.json ? { ...entry, value } : value;
-      ctx.out(JSON.stringify(shown, undefined, opts.json ? 0 : 2));
+      const output = opts.json ? { ...entry, value } : value;
+      ctx.out(JSON.stringify(output, undefined, opts.json ? 0 : 2));
     });
   });
 }
@@ -123,7 +123,7 @@
     if (manifest.isErr()) return err(manifest.error);
     const loaded = await store.load(manifest.value.value);
     if (loaded.isErr()) return err(loaded.error);
-    const text = documentText(
+    const text = formatDocument(
       manifest.value.value.generation,
       loaded.value.raw,
     );
@@ -133,7 +133,7 @@
   });
 }
 
-/** Puts a whole document on an empty platform, as one generation. */
+/** Writes a whole document to an empty platform, as one generation. */
 export function importDocument(
   ctx: CliContext,
   path: string,
@@ -151,14 +151,14 @@
       );
     }
     const names = Object.keys(raw.value).map(sectionName);
-    const wrong = names.find((name) => name.isErr());
-    if (wrong?.isErr()) return err(wrong.error);
+    const invalid = names.find((name) => name.isErr());
+    if (invalid?.isErr()) return err(invalid.error);
     const sections = new Map(
       Object.entries(raw.value) as [SectionName, unknown][],
     );
     const expect = new Map([...sections.keys()].map((name) => [name, 0]));
-    const done = await store.apply({ author, sections, expect });
-    return done.map(({ manifest: { generation } }) => {
+    const applied = await store.apply({ author, sections, expect });
+    return applied.map(({ manifest: { generation } }) => {
       ctx.out(
         opts.json
           ? JSON.stringify({ generation, sections: [...sections.keys()] })
@@ -172,9 +172,9 @@
   ctx: CliContext,
   path: string,
 ): Promise<Result<RawSections, Failure>> {
-  const found = await stat(path).catch(() => undefined);
-  if (found?.isDirectory()) return await readDirectory(ctx, path);
-  return await readDocument(ctx, path);
+  const stats = await stat(path).catch(() => undefined);
+  if (stats?.isDirectory()) return await readSectionDirectory(ctx, path);
+  return await readDocumentFile(ctx, path);
 }
 
 function sectionName(name: string): Result<SectionName, Failure> {
--- a/src/cli/commands/drains.ts
+++ b/src/cli/commands/drains.ts
@@ -1,5 +1,5 @@
 /**
- * Commands on planned drains.
+ * Commands on drains.
  *
  * @module
  */
@@ -20,7 +20,7 @@
 } from "../context.ts";
 import type { ExitCode } from "../exit.ts";
 
-/** What to drain, and in which section it is to stand. */
+/** What to drain, and the section that the drain is written to. */
 export interface DrainArgs {
   readonly kind: string;
   readonly id: string;
@@ -30,20 +30,20 @@
 /** Adds or removes a drain. */
 export function changeDrain(
   ctx: CliContext,
-  { what, args }: { what: "add" | "remove"; args: DrainArgs },
+  { action, args }: { action: "add" | "remove"; args: DrainArgs },
   opts: CommonOptions,
 ): Promise<ExitCode> {
   return withPlatform(ctx, opts, async ({ store, author }) => {
     const drain = parseDrain(args);
     if (drain.isErr()) return err(drain.error);
     const section = (args.section ?? DRAINS) as SectionName;
-    const edit = what === "add" ? addDrain : removeDrain;
-    const done = await editSection(
+    const edit = action === "add" ? addDrain : removeDrain;
+    const edited = await editSection(
       store,
       author,
-      (now) => edit(now, drain.value, section),
+      (current) => edit(current, drain.value, section),
     );
-    return done.map(({ manifest: { generation }, document }) => {
+    return edited.map(({ manifest: { generation }, document }) => {
       const { drains } = document;
       ctx.out(
         opts.json
@@ -62,8 +62,8 @@
   return withPlatform(ctx, opts, async ({ store }) => {
     const manifest = await store.manifest();
     if (manifest.isErr()) return err(manifest.error);
-    const now = await store.load(manifest.value.value);
-    return now.map(({ document: { drains } }) => {
+    const loaded = await store.load(manifest.value.value);
+    return loaded.map(({ document: { drains } }) => {
       if (opts.json) return ctx.out(JSON.stringify(drains));
       for (const drain of drains) ctx.out(`${drain.kind} ${drain.id}`);
     });
--- a/src/cli/commands/explain.ts
+++ b/src/cli/commands/explain.ts
@@ -1,27 +1,30 @@
 /**
- * `magnoliahook explain`: a request's way, from the logs of several instances.
+ * `magnoliahook explain`: a request's path, from the logs of several instances.
  *
  * @module
  */
 import { failure } from "../../core/mod.ts";
-import { type CliContext, type CommonOptions, report } from "../context.ts";
+import {
+  type CliContext,
+  type CommonOptions,
+  reportFailure,
+} from "../context.ts";
 import { EXIT, type ExitCode } from "../exit.ts";
 
-/** One line of a log. */
 type LogLine = Readonly<Record<string, unknown>> & {
   readonly time: number;
   readonly instance: string;
   readonly event: string;
 };
 
-/** What an instance believed matters so long before a request, in ms. */
-const BELIEF_MS = 30_000;
-/** Lines of each belief that are shown, the latest. */
-const SHOWN = 3;
+/** How far before a request's log line earlier events are shown, in ms. */
+const EARLIER_EVENTS_MS = 30_000;
+/** Latest earlier events shown, for the instance and for its endpoints each. */
+const MAX_EARLIER_EVENTS = 3;
 
 /**
- * Prints what each instance decided about a request in order of time, and what
- * it had learned before of the endpoints that it tried.
+ * Prints each instance's log lines about a request in order of time, after its
+ * earlier events about itself and the endpoints that it tried.
  */
 export async function explain(
   ctx: CliContext,
@@ -30,40 +33,40 @@
 ): Promise<ExitCode> {
   const { request, files } = args;
   if (files.length === 0) {
-    const why = "name the files that hold the logs";
-    return report(ctx, opts, failure("bad_request", why));
+    const message = "name the files that hold the logs";
+    return reportFailure(ctx, opts, failure("bad_request", message));
   }
   const lines: LogLine[] = [];
   for (const file of files) {
     try {
-      // One by one: a day's log has more lines than a call takes arguments.
+      // Pushed singly: a day's log has more lines than a call can have arguments.
       for (const line of parseLines(await ctx.readFile(file))) lines.push(line);
     } catch (cause) {
-      const why = `cannot read ${file}: ${String(cause)}`;
-      return report(ctx, opts, failure("bad_request", why));
+      const message = `cannot read ${file}: ${String(cause)}`;
+      return reportFailure(ctx, opts, failure("bad_request", message));
     }
   }
   lines.sort((a, b) => a.time - b.time);
-  const own = lines.filter((line) => line["request"] === request);
-  if (own.length === 0) {
-    const why = `no line about request ${request}; one that went well is ` +
+  const requestLines = lines.filter((line) => line["request"] === request);
+  if (requestLines.length === 0) {
+    const message = `no line about request ${request}; one that went well is ` +
       "kept for one id in 64";
-    return report(ctx, opts, failure("not_found", why));
+    return reportFailure(ctx, opts, failure("not_found", message));
   }
-  for (const line of own) {
-    for (const belief of beliefs(lines, line)) ctx.out(shown(belief, opts));
-    ctx.out(shown(line, opts));
+  for (const line of requestLines) {
+    for (const e of earlierEvents(lines, line)) ctx.out(formatLine(e, opts));
+    ctx.out(formatLine(line, opts));
   }
   return EXIT.ok;
 }
 
-/** Lines of a log, whatever stands before the JSON; others are passed over. */
+/** Parses a log, ignoring text before the JSON and lines that are no events. */
 function parseLines(text: string): LogLine[] {
   return text.split("\n").flatMap((raw) => {
-    const begins = raw.indexOf("{");
-    if (begins < 0) return [];
+    const jsonStart = raw.indexOf("{");
+    if (jsonStart < 0) return [];
     try {
-      const line = JSON.parse(raw.slice(begins));
+      const line = JSON.parse(raw.slice(jsonStart));
       return isLogLine(line) ? [line] : [];
     } catch {
       return [];
@@ -78,27 +81,32 @@
     typeof event === "string";
 }
 
-/** What the instance had learned before that bears on the line. */
-function beliefs(lines: readonly LogLine[], line: LogLine): LogLine[] {
+/** Earlier events of the line's instance, about itself or endpoints it tried. */
+function earlierEvents(lines: readonly LogLine[], line: LogLine): LogLine[] {
   const tried = String(line["tried"] ?? "");
   const before = lines.filter((other) =>
     other.instance === line.instance && other.time <= line.time &&
-    other.time > line.time - BELIEF_MS && other["request"] === undefined
+    other.time > line.time - EARLIER_EVENTS_MS &&
+    other["request"] === undefined
   );
-  const ofEndpoints = before.filter((other) => {
+  const endpointEvents = before.filter((other) => {
     const endpoint = other["endpoint"];
     return typeof endpoint === "string" && tried.includes(endpoint);
   });
-  const ofItself = before.filter((other) => other["endpoint"] === undefined);
-  return [...ofItself.slice(-SHOWN), ...ofEndpoints.slice(-SHOWN)]
-    .sort((a, b) => a.time - b.time);
+  const instanceEvents = before.filter((other) =>
+    other["endpoint"] === undefined
+  );
+  return [
+    ...instanceEvents.slice(-MAX_EARLIER_EVENTS),
+    ...endpointEvents.slice(-MAX_EARLIER_EVENTS),
+  ].sort((a, b) => a.time - b.time);
 }
 
-function shown(line: LogLine, opts: CommonOptions): string {
+function formatLine(line: LogLine, opts: CommonOptions): string {
   if (opts.json) return JSON.stringify(line);
   const { time, instance, event, level: _, ...rest } = line;
   const fields = Object.entries(rest)
     .map(([name, value]) => `${name}=${JSON.stringify(value)}`);
-  const at = new Date(time).toISOString();
-  return [at, instance, event, ...fields].join(" ");
+  const timestamp = new Date(time).toISOString();
+  return [timestamp, instance, event, ...fields].join(" ");
 }
--- a/src/cli/commands/keys.ts
+++ b/src/cli/commands/keys.ts
@@ -21,10 +21,10 @@
 const KEY_PREFIX = "mh_";
 
 /**
- * Makes a key, puts its digest into the account, and prints the key. It is
- * printed only once the digest is accepted, and stands nowhere else.
+ * Creates a key, adds its digest to the account and prints the key, which is
+ * printed only after the digest is accepted and is stored nowhere.
  */
-export function issue(
+export function issueAccountKey(
   ctx: CliContext,
   { account, id }: { account: string; id?: string | undefined },
   opts: CommonOptions,
@@ -33,12 +33,12 @@
     const key = KEY_PREFIX + ctx.random.hex(KEY_BYTES);
     const keyId = id ?? `${account}-${ctx.random.hex(KEY_ID_BYTES)}`;
     const entry = { id: keyId, sha256: sha256(key) };
-    const done = await editSection(
+    const edited = await editSection(
       store,
       author,
-      (now) => issueKey(now, account, entry),
+      (current) => issueKey(current, account, entry),
     );
-    return done.map(({ manifest: { generation } }) => {
+    return edited.map(({ manifest: { generation } }) => {
       if (opts.json) {
         ctx.out(JSON.stringify({ account, id: keyId, key, generation }));
         return;
@@ -52,18 +52,18 @@
 }
 
 /** Withdraws a key; connections that use it are refused within seconds. */
-export function withdraw(
+export function withdrawAccountKey(
   ctx: CliContext,
   { account, id }: { account: string; id: string },
   opts: CommonOptions,
 ): Promise<ExitCode> {
   return withPlatform(ctx, opts, async ({ store, author }) => {
-    const done = await editSection(
+    const edited = await editSection(
       store,
       author,
-      (now) => withdrawKey(now, account, id),
+      (current) => withdrawKey(current, account, id),
     );
-    return done.map(({ manifest: { generation } }) =>
+    return edited.map(({ manifest: { generation } }) =>
       ctx.out(
         opts.json
           ? JSON.stringify({ account, id, withdrawn: true, generation })
--- a/src/cli/commands/report.ts
+++ b/src/cli/commands/report.ts
@@ -1,5 +1,5 @@
 /**
- * `magnoliahook report burn`: what burned the services' budgets.
+ * `magnoliahook report burn`: what consumed the services' error budgets.
  *
  * @module
  */
@@ -35,9 +35,9 @@
     const loaded = await store.load(manifest.value.value);
     if (loaded.isErr()) return err(loaded.error);
     const { document } = loaded.value;
-    const found = await readSummaries(platform, document);
-    if (found.isErr()) return err(found.error);
-    const summaries = found.value;
+    const result = await readSummaries(platform, document);
+    if (result.isErr()) return err(result.error);
+    const summaries = result.value;
     const truncated = summaries.filter((s) => s.truncated).map((s) => s.zone);
     const report = burnReport({
       rows: summaries.flatMap(rowsOf),
@@ -51,16 +51,16 @@
   });
 }
 
-/** Zone by zone, so that no answer of the store grows with their number. */
+/** Lists by zone, so that no response grows with the number of zones. */
 async function readSummaries(
   platform: Platform,
   document: SteeringDocument,
 ): Promise<Result<ZoneSummary[], Failure>> {
   const summaries: ZoneSummary[] = [];
   for (const { zone } of zonesOf(document)) {
-    const found = await platform.list(`${BURN_PREFIX}${zone}/`);
-    if (found.isErr()) return err(found.error);
-    for (const { value } of found.value) {
+    const listed = await platform.list(`${BURN_PREFIX}${zone}/`);
+    if (listed.isErr()) return err(listed.error);
+    for (const { value } of listed.value) {
       const summary = parseSummary(value);
       if (summary !== undefined) summaries.push(summary);
     }
--- a/src/cli/commands/status.ts
+++ b/src/cli/commands/status.ts
@@ -1,5 +1,5 @@
 /**
- * `magnoliahook status`: what the platform and, if named, an instance say.
+ * `magnoliahook status`: the state of the platform and, on request, of an instance.
  *
  * @module
  */
@@ -14,9 +14,9 @@
 import type { ExitCode } from "../exit.ts";
 
 /** The environment variable that holds a role's token. */
-export const TOKEN = "MAGNOLIAHOOK_TOKEN";
+export const TOKEN_ENV = "MAGNOLIAHOOK_TOKEN";
 /** The environment variable that names a file with a role's token. */
-export const TOKEN_FILE = "MAGNOLIAHOOK_TOKEN_FILE";
+export const TOKEN_FILE_ENV = "MAGNOLIAHOOK_TOKEN_FILE";
 
 const TIMEOUT_MS = 5_000;
 
@@ -31,11 +31,17 @@
     if (manifest.isErr()) return err(manifest.error);
     const instances = await platform.instances();
     if (instances.isErr()) return err(instances.error);
-    const own = admin === undefined ? ok(undefined) : await ask(ctx, admin);
-    if (own.isErr()) return err(own.error);
+    const instanceStatus = admin === undefined
+      ? ok(undefined)
+      : await fetchStatus(ctx, admin);
+    if (instanceStatus.isErr()) return err(instanceStatus.error);
     const { generation } = manifest.value.value;
     if (opts.json) {
-      const all = { generation, instances: instances.value, own: own.value };
+      const all = {
+        generation,
+        instances: instances.value,
+        own: instanceStatus.value,
+      };
       ctx.out(JSON.stringify(all));
       return ok(undefined);
     }
@@ -43,18 +49,18 @@
     for (const i of instances.value) {
       ctx.out(`${i.instance}  ${i.zone}  ${i.state}  ${i.callerUrl}`);
     }
-    if (own.value !== undefined) {
-      ctx.out(JSON.stringify(own.value, undefined, 2));
+    if (instanceStatus.value !== undefined) {
+      ctx.out(JSON.stringify(instanceStatus.value, undefined, 2));
     }
     return ok(undefined);
   });
 }
 
-async function ask(
+async function fetchStatus(
   ctx: CliContext,
   admin: string,
 ): Promise<Result<unknown, Failure>> {
-  const token = await tokenOf(ctx);
+  const token = await readToken(ctx);
   if (token.isErr()) return err(token.error);
   const deadline = new Deadline(TIMEOUT_MS);
   try {
@@ -72,9 +78,9 @@
   }
 }
 
-async function tokenOf(ctx: CliContext): Promise<Result<string, Failure>> {
-  const file = ctx.env[TOKEN_FILE];
-  if (file === undefined) return ok(ctx.env[TOKEN] ?? "");
+async function readToken(ctx: CliContext): Promise<Result<string, Failure>> {
+  const file = ctx.env[TOKEN_FILE_ENV];
+  if (file === undefined) return ok(ctx.env[TOKEN_ENV] ?? "");
   try {
     return ok((await ctx.readFile(file)).trim());
   } catch (cause) {
--- a/src/cli/context.ts
+++ b/src/cli/context.ts
@@ -1,5 +1,5 @@
 /**
- * What commands are handed, so that a test runs them in one process.
+ * The environment of commands, injected so that tests run them in-process.
  *
  * @module
  */
@@ -16,14 +16,14 @@
 import { loadSettings } from "../settings/mod.ts";
 import { EXIT, type ExitCode, exitCodeOf } from "./exit.ts";
 
-/** Where a command's platform stands and how it is spoken to. */
+/** How to connect to the platform. */
 export interface PlatformAddress {
   readonly url: string;
   readonly token?: string | undefined;
   readonly timeoutMs?: number;
 }
 
-/** The world around a command. */
+/** Input, output and other dependencies of a command. */
 export interface CliContext {
   readonly out: (line: string) => void;
   readonly err: (line: string) => void;
@@ -33,7 +33,7 @@
   readonly openPlatform: (address: PlatformAddress) => Platform;
   readonly readFile: (file: string) => Promise<string>;
   readonly writeFile: (file: string, text: string) => Promise<void>;
-  /** Resolves when the process is asked to end. */
+  /** Resolves when the process is asked to stop. */
   readonly stopped: () => Promise<void>;
 }
 
@@ -45,43 +45,45 @@
   readonly json?: boolean;
 }
 
-/** An open platform with the document on it. */
-export interface Opened {
+/** An open platform, its document store and the author of edits. */
+export interface PlatformSession {
   readonly platform: Platform;
   readonly store: DocumentStore;
   readonly author: string;
 }
 
 /** The environment variable that holds the platform's bearer token. */
-export const PLATFORM_TOKEN = "MAGNOLIAHOOK_PLATFORM_TOKEN";
-/** The environment variable that names who edits. */
-export const AUTHOR = "MAGNOLIAHOOK_AUTHOR";
+export const PLATFORM_TOKEN_ENV = "MAGNOLIAHOOK_PLATFORM_TOKEN";
+/** The environment variable that names the author of edits. */
+export const AUTHOR_ENV = "MAGNOLIAHOOK_AUTHOR";
 
 /**
- * Opens the platform that the options name, runs, closes, and turns a failure
- * into a line for people and an exit code.
+ * Opens the platform that the options name, calls `run` and closes the
+ * platform. Prints a failure and returns the exit code.
  */
 export async function withPlatform(
   ctx: CliContext,
   opts: CommonOptions,
-  run: (opened: Opened) => Promise<Result<void, Failure>>,
+  run: (session: PlatformSession) => Promise<Result<void, Failure>>,
 ): Promise<ExitCode> {
-  const address = await addressOf(ctx, opts);
-  if (address.isErr()) return report(ctx, opts, address.error);
+  const address = await resolvePlatformAddress(ctx, opts);
+  if (address.isErr()) return reportFailure(ctx, opts, address.error);
   const platform = ctx.openPlatform(address.value);
   const { clock, random } = ctx;
   const store = new DocumentStore({ platform, clock, random });
   try {
-    const author = String(opts.author ?? ctx.env[AUTHOR] ?? ctx.env["USER"]);
-    const done = await run({ platform, store, author });
-    return done.isOk() ? EXIT.ok : report(ctx, opts, done.error);
+    const author = String(
+      opts.author ?? ctx.env[AUTHOR_ENV] ?? ctx.env["USER"],
+    );
+    const result = await run({ platform, store, author });
+    return result.isOk() ? EXIT.ok : reportFailure(ctx, opts, result.error);
   } finally {
     await platform.close();
   }
 }
 
-/** Prints a failure and gives its exit code. */
-export function report(
+/** Prints a failure and returns its exit code. */
+export function reportFailure(
   ctx: CliContext,
   opts: { readonly json?: boolean },
   failure: Failure,
@@ -90,11 +92,11 @@
   return exitCodeOf(failure);
 }
 
-async function addressOf(
+async function resolvePlatformAddress(
   ctx: CliContext,
   opts: CommonOptions,
 ): Promise<Result<PlatformAddress, Failure>> {
-  const token = ctx.env[PLATFORM_TOKEN];
+  const token = ctx.env[PLATFORM_TOKEN_ENV];
   if (opts.platform !== undefined) {
     const url = String(opts.platform);
     if (URL.canParse(url)) return ok({ url, token });
--- a/src/cli/exit.ts
+++ b/src/cli/exit.ts
@@ -15,10 +15,8 @@
   unknown: 5,
 } as const;
 
-/** One of the exit codes. */
 export type ExitCode = typeof EXIT[keyof typeof EXIT];
 
-/** What each exit code means. */
 export const EXIT_MEANING: Readonly<Record<ExitCode, string>> = {
   0: "done",
   1: "failed, or the command was called wrongly; nothing was changed",
@@ -28,7 +26,7 @@
   5: "the answer to a write was lost and it may have taken effect; look first",
 };
 
-const BY_FAILURE: Partial<Record<FailureCode, ExitCode>> = {
+const EXIT_BY_FAILURE: Partial<Record<FailureCode, ExitCode>> = {
   bad_settings: EXIT.badInput,
   bad_section: EXIT.badInput,
   bad_document: EXIT.badInput,
@@ -41,7 +39,6 @@
   platform_outcome_unknown: EXIT.unknown,
 };
 
-/** The exit code that stands for a failure. */
 export function exitCodeOf(failure: Failure): ExitCode {
-  return BY_FAILURE[failure.code] ?? EXIT.failed;
+  return EXIT_BY_FAILURE[failure.code] ?? EXIT.failed;
 }
--- a/src/cli/explain_test.ts
+++ b/src/cli/explain_test.ts
@@ -3,22 +3,22 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { EXIT } from "./exit.ts";
-import { TestCommands } from "./testing/test_context.ts";
+import { CommandRunner } from "./testing/command_runner.ts";
 
-function line(time: number, instance: string, event: string, fields = {}) {
+function logLine(time: number, instance: string, event: string, fields = {}) {
   return JSON.stringify({ level: "info", time, instance, event, ...fields });
 }
 
-async function logs(): Promise<string> {
+async function writeLogs(): Promise<string> {
   const dir = await mkdtemp(join(tmpdir(), "explain-"));
   const drained = { endpoint: "e1", draining: true };
   const failed = { request: "q1", code: "endpoint_failed", tried: "e1(1+0/4)" };
   await writeFile(
     join(dir, "a.log"),
     [
-      line(1_000, "i1", "endpoint_changed", drained),
-      line(1_500, "i1", "endpoint_changed", { endpoint: "e9" }),
-      line(2_000, "i1", "request_refused", failed),
+      logLine(1_000, "i1", "endpoint_changed", drained),
+      logLine(1_500, "i1", "endpoint_changed", { endpoint: "e9" }),
+      logLine(2_000, "i1", "request_refused", failed),
       "{ half a line",
       "",
     ].join("\n"),
@@ -26,15 +26,15 @@
   const again = { request: "q1", status: 200, tried: "e2(1+0/4)" };
   await writeFile(
     join(dir, "b.log"),
-    `prefix ${line(1_900, "i2", "request_answered", again)}\n`,
+    `prefix ${logLine(1_900, "i2", "request_answered", again)}\n`,
   );
   return dir;
 }
 
-test("a request's lines are printed in order of time, with what was known", async (t) => {
-  // A caller complains and names its request's id. Two instances met it.
-  const dir = await logs();
-  const { code, out } = await new TestCommands().run(
+test("a request's log lines are printed in order of time, with earlier events", async (t) => {
+  // A caller reports the id of a request that two instances handled.
+  const dir = await writeLogs();
+  const { code, out } = await new CommandRunner().run(
     `explain q1 ${join(dir, "a.log")} ${join(dir, "b.log")}`,
   );
   t.is(code, EXIT.ok);
@@ -47,17 +47,17 @@
   t.regex(out, /endpoint="e1" draining=true/);
 });
 
-test("a request without a line is said to have none", async (t) => {
-  const dir = await logs();
-  const { code, err } = await new TestCommands().run(
+test("explain fails for a request without log lines", async (t) => {
+  const dir = await writeLogs();
+  const { code, err } = await new CommandRunner().run(
     `explain q2 ${join(dir, "a.log")}`,
   );
   t.not(code, EXIT.ok);
   t.regex(err, /no line about request q2/);
 });
 
-test("a log that cannot be read is named, and so is none at all", async (t) => {
-  const commands = new TestCommands();
+test("explain reports an unreadable log file and a missing file argument", async (t) => {
+  const commands = new CommandRunner();
   t.regex((await commands.run("explain q1 /nowhere.log")).err, /nowhere/);
   t.regex((await commands.run("explain q1")).err, /name the files/);
 });
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -14,27 +14,25 @@
 } from "./commands/document.ts";
 import { changeDrain, listDrains } from "./commands/drains.ts";
 import { explain } from "./commands/explain.ts";
-import { issue, withdraw } from "./commands/keys.ts";
+import { issueAccountKey, withdrawAccountKey } from "./commands/keys.ts";
 import { reportBurn } from "./commands/report.ts";
 import { status } from "./commands/status.ts";
 import type { CliContext, CommonOptions } from "./context.ts";
 import type { ExitCode } from "./exit.ts";
 import { serve } from "./serve.ts";
 
-/** One option of a command. */
 export interface OptionSpec {
   readonly flag: string;
   readonly help: string;
-  /** Present without a value. */
+  /** Takes no value. */
   readonly boolean?: boolean;
 }
 
-/** Options as they come, by name. */
+/** Parsed options by name. */
 export type OptionValues =
   & CommonOptions
   & Readonly<Record<string, string | number | boolean | undefined>>;
 
-/** One command. */
 export interface CommandSpec {
   readonly usage: string;
   readonly help: string;
@@ -64,9 +62,9 @@
     help: "Who edits; else MAGNOLIAHOOK_AUTHOR, else USER",
   },
 ];
-const AT = "--platform http://127.0.0.1:8500";
+const PLATFORM_FLAG = "--platform http://127.0.0.1:8500";
 
-/** Every command, in the order of the help. */
+/** All commands, in the order in which help lists them. */
 export const COMMANDS: readonly CommandSpec[] = [
   {
     usage: "serve",
@@ -74,7 +72,7 @@
     options: [{ flag: "settings", help: "The settings file (TOML)" }],
     examples: ["serve --settings /etc/magnoliahook.toml"],
     run: (ctx, _args, opts) =>
-      serve(text(opts.settings) ?? "magnoliahook.toml", ctx),
+      serve(optionalString(opts.settings) ?? "magnoliahook.toml", ctx),
   },
   {
     usage: "check <path>",
@@ -94,8 +92,8 @@
       },
     ],
     examples: [
-      `apply rates rates.toml ${AT}`,
-      `apply services/crewdesk crewdesk.json --expect 7 ${AT}`,
+      `apply rates rates.toml ${PLATFORM_FLAG}`,
+      `apply services/crewdesk crewdesk.json --expect 7 ${PLATFORM_FLAG}`,
     ],
     run: (ctx, [section = "", file = ""], opts) => {
       const version = opts["expect"] === undefined
@@ -108,38 +106,44 @@
     usage: "show [section]",
     help: "Print what sections there are, or a section's content",
     options: PLATFORM_OPTIONS,
-    examples: [`show ${AT}`, `show rates --json ${AT}`],
+    examples: [
+      `show ${PLATFORM_FLAG}`,
+      `show rates --json ${PLATFORM_FLAG}`,
+    ],
     run: (ctx, [section], opts) => show(ctx, section, opts),
   },
   {
     usage: "export [file]",
     help: "Write the whole document to a file or to standard output",
     options: PLATFORM_OPTIONS,
-    examples: [`export document.json ${AT}`],
+    examples: [`export document.json ${PLATFORM_FLAG}`],
     run: (ctx, [file], opts) => exportDocument(ctx, file, opts),
   },
   {
     usage: "import <path>",
     help: "Put an exported document, or a directory, on an empty platform",
     options: EDIT_OPTIONS,
-    examples: [`import document.json ${AT}`, `import sections/ ${AT}`],
+    examples: [
+      `import document.json ${PLATFORM_FLAG}`,
+      `import sections/ ${PLATFORM_FLAG}`,
+    ],
     run: (ctx, [path = ""], opts) => importDocument(ctx, path, opts),
   },
   {
     usage: "key issue <account>",
     help: "Make a key of an account; it is printed once, its digest is kept",
     options: [...EDIT_OPTIONS, { flag: "id", help: "The key's name" }],
-    examples: [`key issue county-1 --id county-1-2027 ${AT}`],
+    examples: [`key issue county-1 --id county-1-2027 ${PLATFORM_FLAG}`],
     run: (ctx, [account = ""], opts) =>
-      issue(ctx, { account, id: text(opts["id"]) }, opts),
+      issueAccountKey(ctx, { account, id: optionalString(opts["id"]) }, opts),
   },
   {
     usage: "key withdraw <account> <id>",
     help: "Withdraw a key of an account",
     options: EDIT_OPTIONS,
-    examples: [`key withdraw county-1 county-1-2026 ${AT}`],
+    examples: [`key withdraw county-1 county-1-2026 ${PLATFORM_FLAG}`],
     run: (ctx, [account = "", id = ""], opts) =>
-      withdraw(ctx, { account, id }, opts),
+      withdrawAccountKey(ctx, { account, id }, opts),
   },
   drainCommand("add", "Give an endpoint, zone, region or instance no new work"),
   drainCommand("remove", "End a drain"),
@@ -147,7 +151,7 @@
     usage: "drain list",
     help: "Print the drains in force",
     options: PLATFORM_OPTIONS,
-    examples: [`drain list --json ${AT}`],
+    examples: [`drain list --json ${PLATFORM_FLAG}`],
     run: (ctx, _args, opts) => listDrains(ctx, opts),
   },
   {
@@ -161,9 +165,12 @@
           "Also ask the instance at this URL; a role's token comes by MAGNOLIAHOOK_TOKEN or MAGNOLIAHOOK_TOKEN_FILE",
       },
     ],
-    examples: [`status ${AT}`, `status --admin http://127.0.0.1:9000 ${AT}`],
+    examples: [
+      `status ${PLATFORM_FLAG}`,
+      `status --admin http://127.0.0.1:9000 ${PLATFORM_FLAG}`,
+    ],
     run: (ctx, _args, opts) =>
-      status(ctx, { admin: text(opts["admin"]) }, opts),
+      status(ctx, { admin: optionalString(opts["admin"]) }, opts),
   },
   {
     usage: "explain <request>",
@@ -172,7 +179,7 @@
     options: [JSON_OPTION],
     examples: ["explain 9c41d07be2a35f68 entry-1.log entry-2.log"],
     run: (ctx, [request = ""], opts) =>
-      explain(ctx, { request, files: rest(opts) }, opts),
+      explain(ctx, { request, files: extraArgs(opts) }, opts),
   },
   {
     usage: "report burn",
@@ -187,18 +194,18 @@
       },
     ],
     examples: [
-      `report burn ${AT}`,
-      `report burn --html ${AT} > burn.html`,
-      `report burn --json ${AT}`,
+      `report burn ${PLATFORM_FLAG}`,
+      `report burn --html ${PLATFORM_FLAG} > burn.html`,
+      `report burn --json ${PLATFORM_FLAG}`,
     ],
     run: (ctx, _args, opts) =>
       reportBurn(ctx, { html: opts["html"] === true }, opts),
   },
 ];
 
-function drainCommand(what: "add" | "remove", help: string): CommandSpec {
+function drainCommand(action: "add" | "remove", help: string): CommandSpec {
   return {
-    usage: `drain ${what} <kind> <id>`,
+    usage: `drain ${action} <kind> <id>`,
     help,
     options: [
       ...EDIT_OPTIONS,
@@ -207,30 +214,30 @@
         help: "The section it stands in; drains if not given",
       },
     ],
-    examples: [`drain ${what} zone gulf-a ${AT}`],
+    examples: [`drain ${action} zone gulf-a ${PLATFORM_FLAG}`],
     run: (ctx, [kind = "", id = ""], opts) => {
-      const args = { kind, id, section: text(opts["section"]) };
-      return changeDrain(ctx, { what, args }, opts);
+      const args = { kind, id, section: optionalString(opts["section"]) };
+      return changeDrain(ctx, { action, args }, opts);
     },
   };
 }
 
-/** Runs the command that `argv` names, as `process.argv` has it. */
+/** Runs the command in `argv`, which has the form of `process.argv`. */
 export async function run(
   ctx: CliContext,
   argv: readonly string[],
 ): Promise<ExitCode> {
   const program = sade("magnoliahook").version(VERSION);
-  for (const command of COMMANDS) declare(program, command, ctx);
-  const found = program.parse([...argv], {
+  for (const command of COMMANDS) registerCommand(program, command, ctx);
+  const parsed = program.parse([...argv], {
     lazy: true,
-    unknown: (flag) => unknownName("option", flag, flagsOf(argv)),
+    unknown: (flag) => unknownName("option", flag, commandFlags(argv)),
     boolean: ["json", "html"],
     string: STRING_FLAGS,
   });
-  // Help and version print and give nothing to run.
-  if (found === undefined) return 0;
-  return await found.handler(...found.args);
+  // For help and version, `parse` prints the text and returns no command.
+  if (parsed === undefined) return 0;
+  return await parsed.handler(...parsed.args);
 }
 
 const VERSION = "0.1.0";
@@ -241,7 +248,7 @@
   ),
 ];
 
-function declare(
+function registerCommand(
   program: sade.Sade,
   command: CommandSpec,
   ctx: CliContext,
@@ -252,15 +259,15 @@
     else program.option(`--${option.flag}`, option.help);
   }
   for (const example of command.examples) program.example(example);
-  program.action((...given: unknown[]) => {
-    const opts = given.at(-1) as OptionValues;
-    const args = given.slice(0, -1) as (string | undefined)[];
-    return command.run(ctx, args.map(text), opts);
+  program.action((...handlerArgs: unknown[]) => {
+    const opts = handlerArgs.at(-1) as OptionValues;
+    const args = handlerArgs.slice(0, -1) as (string | undefined)[];
+    return command.run(ctx, args.map(optionalString), opts);
   });
 }
 
-/** The options of the command that was called, for the hint at a mistyped one. */
-function flagsOf(argv: readonly string[]): string[] {
+/** Options of the called command, for suggestions on a mistyped option. */
+function commandFlags(argv: readonly string[]): string[] {
   const words = argv.slice(2).filter((a) => !a.startsWith("-")).join(" ");
   const command = COMMANDS.find((c) =>
     words.startsWith(c.usage.replace(/ [<[].*/, ""))
@@ -268,12 +275,12 @@
   return (command?.options ?? []).map((o) => `--${o.flag}`);
 }
 
-/** Words after those that the usage names. */
-function rest(opts: OptionValues): string[] {
+/** Positional arguments beyond those in the command's usage. */
+function extraArgs(opts: OptionValues): string[] {
   const words: unknown = opts["_"];
   return Array.isArray(words) ? words.map(String) : [];
 }
 
-function text(value: unknown): string | undefined {
+function optionalString(value: unknown): string | undefined {
   return value === undefined ? undefined : String(value);
 }
--- a/src/cli/section_file.ts
+++ b/src/cli/section_file.ts
@@ -1,5 +1,5 @@
 /**
- * Sections and whole documents in files.
+ * File formats of sections and whole documents.
  *
  * @module
  */
@@ -22,8 +22,8 @@
 });
 export type DocumentFile = z.infer<typeof DocumentFile>;
 
-/** Writes a whole document as text. */
-export function documentText(
+/** Formats a whole document as JSON. */
+export function formatDocument(
   generation: number,
   sections: RawSections,
 ): string {
@@ -31,8 +31,8 @@
   return JSON.stringify(file, undefined, 2) + "\n";
 }
 
-/** Reads a JSON or TOML file; which one, its name says. */
-export async function readValue(
+/** Reads a file as TOML if its name ends in `.toml`, otherwise as JSON. */
+export async function readJsonOrToml(
   ctx: CliContext,
   file: string,
 ): Promise<Result<unknown, Failure>> {
@@ -51,23 +51,23 @@
 }
 
 /** Reads an exported document. */
-export async function readDocument(
+export async function readDocumentFile(
   ctx: CliContext,
   file: string,
 ): Promise<Result<RawSections, Failure>> {
-  const value = await readValue(ctx, file);
+  const value = await readJsonOrToml(ctx, file);
   if (value.isErr()) return err(value.error);
   const parsed = DocumentFile.safeParse(value.value, { reportInput: true });
   if (parsed.success) return ok(parsed.data.sections);
-  const found = fromZod("bad_document", parsed.error);
-  return err({ ...found, message: `${file}: ${found.message}` });
+  const failure = fromZod("bad_document", parsed.error);
+  return err({ ...failure, message: `${file}: ${failure.message}` });
 }
 
 /**
  * Reads a directory of sections: `rates.toml` is the section `rates`,
  * `services/crewdesk.json` is `services/crewdesk`.
  */
-export async function readDirectory(
+export async function readSectionDirectory(
   ctx: CliContext,
   directory: string,
 ): Promise<Result<RawSections, Failure>> {
@@ -76,7 +76,7 @@
   for (const file of files.sort()) {
     const name = /^(.+)\.(toml|json)$/.exec(file)?.[1];
     if (name === undefined) continue;
-    const value = await readValue(ctx, join(directory, file));
+    const value = await readJsonOrToml(ctx, join(directory, file));
     if (value.isErr()) return err(value.error);
     sections[name.replaceAll("\\", "/")] = value.value;
   }
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -1,5 +1,5 @@
 /**
- * `magnoliahook serve`: the library as a daemon.
+ * `magnoliahook serve`: runs an entry instance as a daemon.
  *
  * @module
  */
@@ -17,10 +17,10 @@
 import { ConnectPeerTransport } from "../peers/mod.ts";
 import { HttpPlatform } from "../store/mod.ts";
 import { loadSettings, type Settings } from "../settings/mod.ts";
-import { type CliContext, PLATFORM_TOKEN } from "./context.ts";
+import { type CliContext, PLATFORM_TOKEN_ENV } from "./context.ts";
 import { EXIT, type ExitCode } from "./exit.ts";
 
-/** Runs an instance until SIGTERM or SIGINT; gives the exit code. */
+/** Runs an instance until SIGTERM or SIGINT; returns the exit code. */
 export async function serve(
   file: string,
   ctx: CliContext,
@@ -30,13 +30,13 @@
     ctx.err(describe(cfg.error));
     return EXIT.badInput;
   }
-  const metrics = metricsFor(cfg.value);
+  const metrics = createMetrics(cfg.value);
   const { url, timeout_ms } = cfg.value.platform;
   const instance = await Instance.start({
     cfg: cfg.value,
     platform: new HttpPlatform({
       baseUrl: url,
-      token: ctx.env[PLATFORM_TOKEN],
+      token: ctx.env[PLATFORM_TOKEN_ENV],
       timeoutMs: timeout_ms,
       metrics,
     }),
@@ -58,7 +58,7 @@
   return EXIT.ok;
 }
 
-function metricsFor(cfg: Settings): Metrics {
+function createMetrics(cfg: Settings): Metrics {
   if (cfg.metrics === undefined) return new MemoryMetrics();
   const globalTags = { instance: cfg.instance.id, zone: cfg.instance.zone };
   return new StatsdMetrics({ ...cfg.metrics, globalTags });
--- a/src/cli/status_test.ts
+++ b/src/cli/status_test.ts
@@ -11,7 +11,7 @@
 import { DocumentStore, type SectionName, sha256 } from "../document/mod.ts";
 import { startOne } from "../instance/testing/one_instance.ts";
 import { EXIT } from "./exit.ts";
-import { TestCommands } from "./testing/test_context.ts";
+import { CommandRunner } from "./testing/command_runner.ts";
 
 const TOKEN = "role-token";
 const MAX_TRIES = 200;
@@ -35,13 +35,13 @@
   const status = (env: Record<string, string>) => {
     const platforms = new Map([["http://store", one.platform]]);
     const at = `--admin ${one.instance.adminUrl} --platform http://store`;
-    return new TestCommands(platforms, env).run(`status --json ${at}`);
+    return new CommandRunner(platforms, env).run(`status --json ${at}`);
   };
   return { status };
 }
 
-/** The section comes in force within seconds; the token stands for nothing before. */
-async function untilOk(
+/** The token is valid once the section is in force, which takes seconds. */
+async function retryUntilOk(
   run: () => Promise<{ code: number; out: string }>,
 ): Promise<{ code: number; out: string }> {
   let last = await run();
@@ -52,9 +52,9 @@
   return last;
 }
 
-test("status asks an instance with a token from the environment or a file", async (t) => {
+test("status queries an instance with a token from the environment or a file", async (t) => {
   const { status } = await setup(t);
-  const byEnv = await untilOk(() => status({ MAGNOLIAHOOK_TOKEN: TOKEN }));
+  const byEnv = await retryUntilOk(() => status({ MAGNOLIAHOOK_TOKEN: TOKEN }));
   t.is(JSON.parse(byEnv.out).own.instance, "i1");
   const dir = await mkdtemp(join(tmpdir(), "magnoliahook-token-"));
   t.teardown(() => rm(dir, { recursive: true }));
--- a/src/cli/system_context.ts
+++ b/src/cli/system_context.ts
@@ -1,5 +1,5 @@
 /**
- * The world of a command run by a person.
+ * The context of commands that are run from a shell.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 import { HttpPlatform } from "../store/mod.ts";
 import type { CliContext } from "./context.ts";
 
-/** Commands against the machine's files, environment and network. */
+/** Uses the machine's files, environment and network. */
 export function systemContext(): CliContext {
   return {
     out: (line) => console.log(line),
--- a/src/cli/testing/test_context.ts
+++ b/src/cli/testing/command_runner.ts
@@ -1,5 +1,5 @@
 /**
- * Commands run in one process, with what they print kept.
+ * Runs commands in-process and captures their output.
  *
  * @module
  */
@@ -10,19 +10,19 @@
 import type { ExitCode } from "../exit.ts";
 import { run } from "../program.ts";
 
-/** What a command printed, and how it ended. */
+/** A command's output and exit code. */
 export interface CommandResult {
   readonly code: ExitCode;
   readonly out: string;
   readonly err: string;
 }
 
-/** Runs commands; a URL that `platforms` names is played by its platform. */
-export class TestCommands {
+/** Runs commands; `platforms` replaces the platforms at the given URLs. */
+export class CommandRunner {
   readonly #platforms: ReadonlyMap<string, Platform>;
   readonly #random = new SeededRandom(7);
   readonly #env: Record<string, string>;
-  /** Ends a running `serve`. */
+  /** Stops a running `serve`. */
   stop: () => void = () => {};
 
   constructor(
