--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -1,6 +1,6 @@
 /**
- * The caller library: looks up, sends, and says truthfully what became of a
- * request.
+ * The client library: looks up instances, sends requests, and reports whether
+ * a failed request may have run.
  *
  * @module
  */
@@ -17,57 +17,62 @@
   SystemRandom,
 } from "../core/mod.ts";
 import { type HomeBinding, HomeBindings, homeHeader } from "./home_bindings.ts";
-import { mayRetry, outcomeOf, readRefusal, unreachable } from "./outcomes.ts";
+import {
+  isRetryable,
+  operationOutcome,
+  parseFailure,
+  transportFailure,
+} from "./outcomes.ts";
 
-/** Settings of a caller. */
+/** Settings of a {@link Client}. */
 export interface ClientOptions {
-  /** Entry instances to ask first, before any look-up is known. */
+  /** Base URLs of entry instances, used until a look-up succeeds. */
   readonly seeds: readonly string[];
-  /** The client account's key. */
+  /** The client account's key, sent as bearer token. */
   readonly key: string;
   readonly clock?: Clock;
   readonly random?: Random;
 }
 
-/** One request of a caller. */
-export interface CallerRequest {
+/** One request to a service. */
+export interface ClientRequest {
   readonly service: string;
   readonly method: string;
   readonly path: string;
   readonly body?: string | Uint8Array;
   readonly headers?: Readonly<Record<string, string>>;
-  /** How long the caller is willing to wait, in milliseconds. */
+  /** Timeout of the whole call with its retries, in milliseconds. */
   readonly timeoutMs: number;
-  /** Whether running it twice does no harm. */
+  /** Whether the request can safely run more than once. */
   readonly idempotent: boolean;
-  /** Given to repeat an earlier attempt; made anew otherwise. */
+  /** Set to retry an earlier call; generated otherwise. */
   readonly operationId?: string;
-  /** The home of an attempt that another process made, from `homeOf` there. */
+  /** The home of a call that another process made, from its `homeOf`. */
   readonly home?: string;
 }
 
-/** A whole answer. */
-export interface CallerAnswer {
+/** A complete response. */
+export interface ClientResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: Uint8Array;
 }
 
-const Choices = z.object({
+const LookupResponse = z.object({
   reuse_ms: z.number().nonnegative(),
   instances: z.array(
     z.object({ url: z.string(), home: z.string().optional() }),
   ),
 });
-type Choices = z.infer<typeof Choices>;
+type LookupResponse = z.infer<typeof LookupResponse>;
 
 const OPERATION_ID_BYTES = 16;
-const MAX_TRIES = 4;
-const FIRST_BACKOFF_MS = 50;
+const MAX_ATTEMPTS = 4;
+const INITIAL_BACKOFF_MS = 50;
 const LOOKUP_TIMEOUT_MS = 1_000;
 
 /**
- * A caller of services.
+ * Sends requests to services, with retries across instances.
  *
  * @example
  * ```ts
@@ -83,9 +88,9 @@
   readonly #random: Random;
   readonly #agent = new Agent({ connections: 64, pipelining: 1 });
   readonly #bindings: HomeBindings;
-  #choices: Choices | undefined;
-  #choicesUntil = -Infinity;
-  #asking: Promise<Choices | undefined> | undefined;
+  #cachedLookup: LookupResponse | undefined;
+  #lookupExpiresAt = -Infinity;
+  #pendingLookup: Promise<LookupResponse | undefined> | undefined;
 
   constructor(opts: ClientOptions) {
     this.#opts = opts;
@@ -95,150 +100,158 @@
   }
 
   /**
-   * Sends a request and gives the whole answer, whatever its status.
+   * Sends a request and returns the complete response, whatever its status.
    *
-   * Failures carry `outcome`: `not-run` if it surely did not run, `unknown`
-   * if it may have. What is not idempotent is repeated under one operation id
-   * and home, so that a repetition brings the answer and never a second run.
+   * Failures carry `outcome`: `not-run` if the request certainly did not run,
+   * `unknown` if it may have. Requests that are not idempotent are retried with
+   * the same operation id and home, so that a retry returns the recorded
+   * response and never runs the request a second time.
    */
-  async send(req: CallerRequest): Promise<Result<CallerAnswer, Failure>> {
+  async send(req: ClientRequest): Promise<Result<ClientResponse, Failure>> {
     const deadline = this.#clock.now() + req.timeoutMs;
     const operationId = req.operationId ?? this.#random.hex(OPERATION_ID_BYTES);
     let binding = await this.#bindingFor(req);
-    let last: Result<CallerAnswer, Failure> = fail(
+    let last: Result<ClientResponse, Failure> = fail(
       "no_capacity",
-      "no instance",
-      { outcome: binding.uncertain ? "unknown" : "not-run" },
+      "the timeout elapsed before the first attempt",
+      { outcome: binding.mayHaveRun ? "unknown" : "not-run" },
     );
-    for (let i = 0; i < MAX_TRIES; i++) {
+    for (let i = 0; i < MAX_ATTEMPTS; i++) {
       const timeoutMs = deadline - this.#clock.now();
       if (timeoutMs <= 0) break;
-      const base = await this.#instance(i);
-      last = await this.#try(base, { ...req, operationId, timeoutMs, binding });
+      const instanceUrl = await this.#instanceUrl(i);
+      last = await this.#attempt(instanceUrl, {
+        ...req,
+        operationId,
+        timeoutMs,
+        binding,
+      });
       if (last.isOk()) {
-        binding = { ...binding, uncertain: true };
+        binding = { ...binding, mayHaveRun: true };
         break;
       }
-      const outcome = outcomeOf(last.error, binding);
+      const outcome = operationOutcome(last.error, binding);
       last = err({ ...last.error, outcome });
-      const again = mayRetry(last.error, binding);
-      if (outcome === "unknown") binding = { ...binding, uncertain: true };
+      const retry = isRetryable(last.error, binding);
+      if (outcome === "unknown") binding = { ...binding, mayHaveRun: true };
       const waitMs = this.#backoff(i, last.error);
-      if (!again || this.#clock.now() + waitMs >= deadline) break;
+      if (!retry || this.#clock.now() + waitMs >= deadline) break;
       await sleep(this.#clock, waitMs);
       if (outcome === "not-run") binding = await this.#rebind(binding, i + 1);
     }
-    if (req.operationId) this.#bindings.keep(req.operationId, binding);
+    if (req.operationId) this.#bindings.set(req.operationId, binding);
     return last;
   }
 
   /**
-   * The home of an operation id that this process sent; to be kept beside the
-   * id by an application that may repeat it from another process.
+   * The home of an operation id that this process sent. An application that
+   * may retry from another process stores it with the id.
    */
   homeOf(operationId: string): string | undefined {
-    const binding = this.#bindings.find(operationId);
+    const binding = this.#bindings.get(operationId);
     return binding && homeHeader(binding);
   }
 
-  /** Ends kept connections. */
+  /** Closes pooled connections. */
   async close(): Promise<void> {
     await this.#agent.close();
   }
 
-  async #bindingFor(req: CallerRequest): Promise<HomeBinding> {
-    const kept = req.operationId && this.#bindings.find(req.operationId);
-    if (kept) return kept;
-    if (req.home) return { home: req.home, round: 0, uncertain: true };
-    const choices = req.idempotent ? undefined : await this.#lookup();
-    const home = choices?.instances[0]?.home;
-    return { home, round: 0, uncertain: false };
+  async #bindingFor(req: ClientRequest): Promise<HomeBinding> {
+    const existing = req.operationId && this.#bindings.get(req.operationId);
+    if (existing) return existing;
+    if (req.home) return { home: req.home, round: 0, mayHaveRun: true };
+    const response = req.idempotent ? undefined : await this.#lookup();
+    const home = response?.instances[0]?.home;
+    return { home, round: 0, mayHaveRun: false };
   }
 
   /**
-   * A new home, after a true `not-run` alone, from a new look-up: the homes
-   * known so far may share what refused the request, as when the instance
-   * that keeps their second records has died.
+   * Picks a new home from a new look-up, only after a definite `not-run`. The
+   * cached homes may share the cause of the refusal, for example a dead
+   * instance that holds the second record for all of them.
    */
-  async #rebind(binding: HomeBinding, next: number): Promise<HomeBinding> {
-    this.#choicesUntil = -Infinity;
-    const homes = (await this.#lookup())?.instances ?? [];
-    const home = homes[next % Math.max(1, homes.length)]?.home;
-    return { home, round: binding.round + 1, uncertain: false };
+  async #rebind(binding: HomeBinding, attempt: number): Promise<HomeBinding> {
+    this.#lookupExpiresAt = -Infinity;
+    const instances = (await this.#lookup())?.instances ?? [];
+    const home = instances[attempt % Math.max(1, instances.length)]?.home;
+    return { home, round: binding.round + 1, mayHaveRun: false };
   }
 
-  async #instance(attempt: number): Promise<string> {
-    const choices = await this.#lookup();
-    const urls = choices?.instances.map((c) => c.url) ?? [];
-    const usable = urls.length > 0 ? urls : this.#opts.seeds;
-    return usable[attempt % usable.length] ?? "";
+  async #instanceUrl(attempt: number): Promise<string> {
+    const response = await this.#lookup();
+    const urls = response?.instances.map((c) => c.url) ?? [];
+    const candidates = urls.length > 0 ? urls : this.#opts.seeds;
+    return candidates[attempt % candidates.length] ?? "";
   }
 
   /**
-   * Requests that need a look-up at the same time share one. Were each to send
-   * its own, every expiry would bring as many look-ups as requests under way,
-   * most of all when instances are slow already.
+   * Concurrent requests share one look-up. Otherwise every expiry would cause
+   * one look-up per request in flight, most of all when instances are slow.
    */
-  async #lookup(): Promise<Choices | undefined> {
-    if (this.#clock.now() < this.#choicesUntil) return this.#choices;
-    this.#asking ??= this.#askAround().finally(() => {
-      this.#asking = undefined;
+  async #lookup(): Promise<LookupResponse | undefined> {
+    if (this.#clock.now() < this.#lookupExpiresAt) return this.#cachedLookup;
+    this.#pendingLookup ??= this.#refreshLookup().finally(() => {
+      this.#pendingLookup = undefined;
     });
-    return await this.#asking;
+    return await this.#pendingLookup;
   }
 
-  async #askAround(): Promise<Choices | undefined> {
-    const known = this.#choices?.instances.map((c) => c.url) ?? [];
+  async #refreshLookup(): Promise<LookupResponse | undefined> {
+    const known = this.#cachedLookup?.instances.map((c) => c.url) ?? [];
     for (const url of [...known, ...this.#opts.seeds]) {
-      const choices = await this.#ask(url);
-      if (choices === undefined) continue;
-      this.#choices = choices;
-      this.#choicesUntil = this.#clock.now() + choices.reuse_ms;
-      return choices;
+      const response = await this.#fetchLookup(url);
+      if (response === undefined) continue;
+      this.#cachedLookup = response;
+      this.#lookupExpiresAt = this.#clock.now() + response.reuse_ms;
+      return response;
     }
-    return this.#choices;
+    return this.#cachedLookup;
   }
 
-  async #ask(url: string): Promise<Choices | undefined> {
+  async #fetchLookup(url: string): Promise<LookupResponse | undefined> {
     try {
       const res = await request(`${url}/v1/lookup`, {
         dispatcher: this.#agent,
         signal: AbortSignal.timeout(LOOKUP_TIMEOUT_MS),
       });
-      return Choices.parse(await res.body.json());
+      return LookupResponse.parse(await res.body.json());
     } catch {
       return undefined;
     }
   }
 
-  async #try(
-    base: string,
-    req: CallerRequest & { operationId: string; binding: HomeBinding },
-  ): Promise<Result<CallerAnswer, Failure>> {
+  async #attempt(
+    instanceUrl: string,
+    req: ClientRequest & { operationId: string; binding: HomeBinding },
+  ): Promise<Result<ClientResponse, Failure>> {
     try {
-      const res = await request(`${base}/services/${req.service}${req.path}`, {
-        method: req.method,
-        headers: {
-          ...req.headers,
-          authorization: `Bearer ${this.#opts.key}`,
-          "x-timeout-ms": String(Math.ceil(req.timeoutMs)),
-          ...(req.idempotent ? {} : operationHeaders(req)),
+      const res = await request(
+        `${instanceUrl}/services/${req.service}${req.path}`,
+        {
+          method: req.method,
+          headers: {
+            ...req.headers,
+            authorization: `Bearer ${this.#opts.key}`,
+            "x-timeout-ms": String(Math.ceil(req.timeoutMs)),
+            ...(req.idempotent ? {} : operationHeaders(req)),
+          },
+          body: req.body ?? null,
+          dispatcher: this.#agent,
+          signal: AbortSignal.timeout(Math.ceil(req.timeoutMs) + 100),
         },
-        body: req.body ?? null,
-        dispatcher: this.#agent,
-        signal: AbortSignal.timeout(Math.ceil(req.timeoutMs) + 100),
-      });
+      );
       const body = new Uint8Array(await res.body.arrayBuffer());
-      const refusal = readRefusal(res.headers["x-magnoliahook-outcome"], body);
+      const refusal = parseFailure(res.headers["x-magnoliahook-outcome"], body);
       if (refusal) return err(refusal);
       return ok({ status: res.statusCode, headers: res.headers, body });
     } catch (cause) {
-      return unreachable(cause);
+      return transportFailure(cause);
     }
   }
 
   #backoff(attempt: number, failure: Failure): number {
-    const base = failure.retryAfterMs ?? FIRST_BACKOFF_MS * 2 ** attempt;
+    const base = failure.retryAfterMs ?? INITIAL_BACKOFF_MS * 2 ** attempt;
     return base * (0.5 + this.#random.next());
   }
 }
--- a/src/client/client_test.ts
+++ b/src/client/client_test.ts
@@ -8,14 +8,14 @@
 import { SeededRandom } from "../core/mod.ts";
 import { Client } from "./client.ts";
 
-/** What an instance does with one request to a service. */
-type Answer = "ok" | "cut" | Refused;
-interface Refused {
+/** How an instance responds to one request to a service. */
+type ScriptedReply = "ok" | "cut" | FailureReply;
+interface FailureReply {
   readonly code: string;
   readonly outcome: "not-run" | "unknown";
 }
 
-interface Seen {
+interface ReceivedRequest {
   readonly instance: number;
   readonly id: string;
   readonly home: string;
@@ -23,17 +23,17 @@
 
 interface Setup {
   readonly client: Client;
-  readonly seen: Seen[];
+  readonly seen: ReceivedRequest[];
   readonly lookups: () => number;
 }
 
-/** Two instances whose answers to service requests follow a script. */
+/** Starts two instances that answer service requests from a script. */
 async function makeSetup(
   t: ExecutionContext,
-  script: readonly Answer[],
+  script: readonly ScriptedReply[],
   homeOf: (instance: number, lookup: number) => string = (i) => `home-${i}`,
 ): Promise<Setup> {
-  const seen: Seen[] = [];
+  const seen: ReceivedRequest[] = [];
   let lookups = 0;
   const urls: string[] = [];
   const serve =
@@ -52,7 +52,7 @@
         id: String(req.headers["idempotency-key"]),
         home: String(req.headers["x-magnoliahook-home"]),
       });
-      answer(req, res, script[seen.length - 1] ?? "ok");
+      sendReply(req, res, script[seen.length - 1] ?? "ok");
     };
   for (const instance of [0, 1]) {
     const server = createServer(serve(instance));
@@ -74,90 +74,99 @@
   return { client, seen, lookups: () => lookups };
 }
 
-function answer(
+function sendReply(
   req: IncomingMessage,
   res: ServerResponse,
-  what: Answer,
+  reply: ScriptedReply,
 ): void {
-  if (what === "ok") res.end("done");
-  else if (what === "cut") req.socket.destroy();
+  if (reply === "ok") res.end("done");
+  else if (reply === "cut") req.socket.destroy();
   else {
-    res.setHeader("x-magnoliahook-outcome", what.outcome);
+    res.setHeader("x-magnoliahook-outcome", reply.outcome);
     res.statusCode = 503;
-    res.end(JSON.stringify({ ...what, message: "m" }));
+    res.end(JSON.stringify({ ...reply, message: "m" }));
   }
 }
 
-const REFUSED: Refused = { code: "operation_refused", outcome: "not-run" };
-const NO_ROOM: Refused = { code: "no_capacity", outcome: "not-run" };
-const TOO_FAST: Refused = { code: "rate_exceeded", outcome: "not-run" };
-const UNKNOWN: Refused = { code: "outcome_unknown", outcome: "unknown" };
-const BAD: Refused = { code: "bad_request", outcome: "not-run" };
+const OPERATION_REFUSED: FailureReply = {
+  code: "operation_refused",
+  outcome: "not-run",
+};
+const NO_CAPACITY: FailureReply = { code: "no_capacity", outcome: "not-run" };
+const RATE_EXCEEDED: FailureReply = {
+  code: "rate_exceeded",
+  outcome: "not-run",
+};
+const OUTCOME_UNKNOWN: FailureReply = {
+  code: "outcome_unknown",
+  outcome: "unknown",
+};
+const BAD_REQUEST: FailureReply = { code: "bad_request", outcome: "not-run" };
 
 /**
- * A caller's first attempt is cut off, refused or not answered. Repeated under
- * another home it would be a second operation; given up too early, a hold is
- * lost though its answer waits at the system.
+ * The first attempt is cut off, refused or not answered. Guards against a retry
+ * with another home, which would be a second operation, and against giving up
+ * while the response is recorded and could still be fetched.
  */
-const TABLE: {
-  what: string;
-  script: Answer[];
+const CASES: {
+  title: string;
+  script: ScriptedReply[];
   homes: string[];
-  told: string;
+  expected: string;
 }[] = [
   {
-    what: "cut, then answered",
+    title: "connection cut, then answered",
     script: ["cut", "ok"],
     homes: ["home-0", "home-0"],
-    told: "done",
+    expected: "done",
   },
   {
-    what: "cut, then refused for good, then answered",
-    script: ["cut", REFUSED, "ok"],
+    title: "connection cut, then refused permanently, then answered",
+    script: ["cut", OPERATION_REFUSED, "ok"],
     homes: ["home-0", "home-0", "home-0~1"],
-    told: "done",
+    expected: "done",
   },
   {
-    what: "cut, then no room at the door, then answered",
-    script: ["cut", NO_ROOM, "ok"],
+    title: "connection cut, then no capacity, then answered",
+    script: ["cut", NO_CAPACITY, "ok"],
     homes: ["home-0", "home-0", "home-0"],
-    told: "done",
+    expected: "done",
   },
   {
-    what: "no room, then answered",
-    script: [NO_ROOM, "ok"],
+    title: "no capacity, then answered",
+    script: [NO_CAPACITY, "ok"],
     homes: ["home-0", "home-1~1"],
-    told: "done",
+    expected: "done",
   },
   {
-    what: "over the rate",
-    script: [TOO_FAST],
+    title: "over the rate",
+    script: [RATE_EXCEEDED],
     homes: ["home-0"],
-    told: "not-run",
+    expected: "not-run",
   },
   {
-    what: "unknown, then over the rate, then answered",
-    script: [UNKNOWN, TOO_FAST, "ok"],
+    title: "unknown outcome, then over the rate, then answered",
+    script: [OUTCOME_UNKNOWN, RATE_EXCEEDED, "ok"],
     homes: ["home-0", "home-0", "home-0"],
-    told: "done",
+    expected: "done",
   },
   {
-    what: "unknown, then no valid key",
-    script: [UNKNOWN, { code: "unauthenticated", outcome: "not-run" }],
+    title: "unknown outcome, then no valid key",
+    script: [OUTCOME_UNKNOWN, { code: "unauthenticated", outcome: "not-run" }],
     homes: ["home-0", "home-0"],
-    told: "unknown",
+    expected: "unknown",
   },
 ];
 
-for (const { what, script, homes, told } of TABLE) {
-  test(`a caller is ${what}`, async (t) => {
+for (const { title, script, homes, expected } of CASES) {
+  test(`client request: ${title}`, async (t) => {
     const { client, seen } = await makeSetup(t, script);
     const result = await client.send(REQUEST);
     const got = result.match(
       (a) => new TextDecoder().decode(a.body),
       (f) => f.outcome ?? "no outcome",
     );
-    t.is(got, told);
+    t.is(got, expected);
     t.deepEqual(seen.map((s) => s.home), homes);
     t.is(new Set(seen.map((s) => s.id)).size, 1);
   });
@@ -173,12 +182,12 @@
 } as const;
 
 /**
- * An application repeats an id that was answered, first with a wrong body by
- * mistake. Were the refusal of that taken for "not run", the id would get a
- * new home and the order would be confirmed a second time.
+ * An application reuses an answered id, once with a wrong body. If that refusal
+ * counted as "not run", the id would get a new home and the operation would run
+ * a second time.
  */
-test("an answered id keeps its home whatever is refused later", async (t) => {
-  const { client, seen } = await makeSetup(t, ["ok", BAD, "ok"]);
+test("an answered id keeps its home after a later refusal", async (t) => {
+  const { client, seen } = await makeSetup(t, ["ok", BAD_REQUEST, "ok"]);
   const req = { ...REQUEST, operationId: "op" };
   await client.send(req);
   await client.send({ ...req, body: "other" });
@@ -187,18 +196,13 @@
   t.is(client.homeOf("op"), "home-0");
 });
 
-/**
- * Many requests of one caller begin at once when its look-up is over its time.
- * A look-up for each would fall on instances that may be slow already, and the
- * requests would spend their patience on it.
- */
 test("after a refusal the next home comes from a new look-up", async (t) => {
-  // The instance that kept the second records of every home known so far has
-  // died. Tried again at those homes, the request is refused until the
-  // look-up runs out, although new homes would take it.
+  // The instance that held the second records of every cached home has died.
+  // Retries with those homes would be refused until the look-up expires, although
+  // a new home would accept the request.
   const { client, seen } = await makeSetup(
     t,
-    [NO_ROOM, "ok"],
+    [NO_CAPACITY, "ok"],
     (instance, lookup) => `home-${instance}-${lookup}`,
   );
   const sent = await client.send({
@@ -214,7 +218,12 @@
   t.deepEqual(lookups, ["1", "2"]);
 });
 
-test("requests that begin together share a look-up", async (t) => {
+/**
+ * Many requests start at once when the look-up has expired. One look-up per
+ * request would load instances that may be slow already and use up the
+ * requests' timeouts.
+ */
+test("requests that start together share a look-up", async (t) => {
   const { client, lookups } = await makeSetup(t, []);
   await Promise.all(Array.from({ length: 20 }, () => client.send(REQUEST)));
   t.is(lookups(), 1);
--- a/src/client/home_bindings.ts
+++ b/src/client/home_bindings.ts
@@ -1,60 +1,64 @@
 /**
- * Which home each operation of a caller is bound to.
+ * The home that each operation id of a client is bound to.
  *
- * A retry under another home would be a new operation to the system, and
- * would run a second time; so an id keeps its home until the system said that
- * the operation was not run and never will be there.
+ * The home is the token that names the instance which runs and records the
+ * operation. A retry with another home would be a new operation and could run a
+ * second time, so an id keeps its home until the system has reported that the
+ * operation did not run there and never will.
  *
  * @module
  */
 import type { Clock } from "../core/mod.ts";
 
-/** Where an operation stands. */
+/** An operation's home and what is known of its earlier attempts. */
 export interface HomeBinding {
-  /** Undefined while no look-up gave a home. */
+  /** Undefined if no look-up has returned a home. */
   readonly home: string | undefined;
-  /** Rises with each new home. */
+  /** Number of times a new home was chosen. */
   readonly round: number;
-  /** Whether an attempt under this home may have run. */
-  readonly uncertain: boolean;
+  /** Whether an attempt with this home may have run. */
+  readonly mayHaveRun: boolean;
 }
 
-interface Kept {
+interface BindingEntry {
   readonly binding: HomeBinding;
   readonly until: number;
 }
 
-/** As long as the system keeps records, in milliseconds. */
-const KEPT_MS = 600_000;
-const MAX_KEPT = 10_000;
+/** Equals the time for which the system keeps operation records. */
+const BINDING_TTL_MS = 600_000;
+const MAX_BINDINGS = 10_000;
 
-/** The value of the home header; undefined where there is no home. */
+/** Value of the `x-magnoliahook-home` header; undefined without a home. */
 export function homeHeader({ home, round }: HomeBinding): string | undefined {
   if (home === undefined || round === 0) return home;
   return `${home}~${round}`;
 }
 
-/** Bindings of operation ids that the application chose and may repeat. */
+/** Bindings of operation ids that the application supplied and may retry. */
 export class HomeBindings {
   readonly #clock: Clock;
-  readonly #kept = new Map<string, Kept>();
+  readonly #entries = new Map<string, BindingEntry>();
 
   constructor(clock: Clock) {
     this.#clock = clock;
   }
 
-  find(operationId: string): HomeBinding | undefined {
-    const kept = this.#kept.get(operationId);
-    return kept && kept.until > this.#clock.now() ? kept.binding : undefined;
+  get(operationId: string): HomeBinding | undefined {
+    const entry = this.#entries.get(operationId);
+    return entry && entry.until > this.#clock.now() ? entry.binding : undefined;
   }
 
-  keep(operationId: string, binding: HomeBinding): void {
+  set(operationId: string, binding: HomeBinding): void {
     const now = this.#clock.now();
-    for (const [id, kept] of this.#kept) {
-      if (kept.until > now && this.#kept.size < MAX_KEPT) break;
-      this.#kept.delete(id);
+    for (const [id, entry] of this.#entries) {
+      if (entry.until > now && this.#entries.size < MAX_BINDINGS) break;
+      this.#entries.delete(id);
     }
-    this.#kept.delete(operationId);
-    this.#kept.set(operationId, { binding, until: now + KEPT_MS });
+    this.#entries.delete(operationId);
+    this.#entries.set(operationId, {
+      binding,
+      until: now + BINDING_TTL_MS,
+    });
   }
 }
--- a/src/client/mod.ts
+++ b/src/client/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The caller library.
+ * The client library.
  *
  * @module
  */
--- a/src/client/outcomes.ts
+++ b/src/client/outcomes.ts
@@ -1,5 +1,6 @@
 /**
- * What an answer or a failure says of an operation, and whether to ask again.
+ * Classifies responses and failures: whether the operation may have run, and
+ * whether to retry it.
  *
  * @module
  */
@@ -13,15 +14,15 @@
 } from "../core/mod.ts";
 import type { HomeBinding } from "./home_bindings.ts";
 
-const Refusal = z.object({
+const ErrorBody = z.object({
   code: z.string(),
   message: z.string(),
   outcome: z.enum(["not-run", "unknown"]).optional(),
   retry_after_ms: z.number().optional(),
 });
 
-/** Asking again with the same request cannot help with these. */
-const FINAL: ReadonlySet<FailureCode> = new Set<FailureCode>([
+/** Failures that a retry of the same request cannot resolve. */
+const NON_RETRYABLE: ReadonlySet<FailureCode> = new Set<FailureCode>([
   "bad_request",
   "forbidden",
   "not_found",
@@ -30,35 +31,39 @@
 ]);
 
 /**
- * What may have run is asked for again even over the rate: the answer is there.
+ * Whether to retry. An operation that may have run is retried even when over
+ * the rate, because its response may be recorded already.
  */
-export function mayRetry(
+export function isRetryable(
   failure: Failure,
-  { uncertain }: HomeBinding,
+  { mayHaveRun }: HomeBinding,
 ): boolean {
-  if (failure.code === "rate_exceeded") return uncertain;
-  return !FINAL.has(failure.code);
+  if (failure.code === "rate_exceeded") return mayHaveRun;
+  return !NON_RETRYABLE.has(failure.code);
 }
 
 /**
- * What is known of the operation, not of one attempt alone: after an attempt
- * that may have run, a later one that was refused at the door proves nothing.
+ * The outcome of the operation over all its attempts. After an attempt that may
+ * have run, the refusal of a later attempt does not show that it did not.
  */
-export function outcomeOf(failure: Failure, binding: HomeBinding): Outcome {
+export function operationOutcome(
+  failure: Failure,
+  binding: HomeBinding,
+): Outcome {
   if (failure.outcome !== "not-run") return "unknown";
-  if (!binding.uncertain) return "not-run";
-  const forGood = binding.home !== undefined &&
+  if (!binding.mayHaveRun) return "not-run";
+  const permanent = binding.home !== undefined &&
     failure.code === "operation_refused";
-  return forGood ? "not-run" : "unknown";
+  return permanent ? "not-run" : "unknown";
 }
 
-/** The failure that the system answered with; undefined for an answer. */
-export function readRefusal(
+/** The failure in a response; undefined if a service answered. */
+export function parseFailure(
   outcome: string | string[] | undefined,
   body: Uint8Array,
 ): Failure | undefined {
   if (outcome === undefined) return undefined;
-  const parsed = Refusal.parse(JSON.parse(new TextDecoder().decode(body)));
+  const parsed = ErrorBody.parse(JSON.parse(new TextDecoder().decode(body)));
   return {
     code: parsed.code as FailureCode,
     message: parsed.message,
@@ -68,11 +73,11 @@
   };
 }
 
-/** The instance gave no answer; refused connections carried nothing. */
-export function unreachable(cause: unknown): Result<never, Failure> {
-  const refused =
+/** The instance did not respond; a refused connection carried no request. */
+export function transportFailure(cause: unknown): Result<never, Failure> {
+  const connectionRefused =
     String((cause as { code?: unknown })?.code) === "ECONNREFUSED";
-  return fail("no_answer", `the instance failed: ${String(cause)}`, {
-    outcome: refused ? "not-run" : "unknown",
+  return fail("no_answer", `no response from the instance: ${String(cause)}`, {
+    outcome: connectionRefused ? "not-run" : "unknown",
   });
 }
--- a/src/document/in_force.ts
+++ b/src/document/assemble_document.ts
@@ -1,10 +1,10 @@
 /**
- * From a manifest and its contents to the document in force.
+ * Builds the active document (event `document_in_force`) from a manifest and
+ * its contents.
  *
- * A section that this program cannot use (a newer schema, a broken value)
- * keeps the content that was in force before. What goes wrong otherwise: one
- * team's bad section holds back another team's withdrawn key, which shows as a
- * key that works long after it was withdrawn.
+ * A section that this version cannot use (newer schema, invalid value) keeps its
+ * previously active content. Otherwise one team's invalid section would block
+ * another team's withdrawal of a key, which would stay valid long after.
  *
  * @module
  */
@@ -16,7 +16,7 @@
 import { type Manifest, ManifestEntry } from "./manifest.ts";
 import { SectionName } from "./sections.ts";
 
-/** A manifest that may name sections and fields of a newer program. */
+/** A manifest that may have sections and fields of a newer version. */
 export const AnyManifest = z.object({
   generation: z.number().int().nonnegative(),
   write_id: z.string().max(100),
@@ -27,35 +27,35 @@
 });
 export type AnyManifest = z.infer<typeof AnyManifest>;
 
-/** Reads a manifest's text, also one that a newer program wrote. */
+/** Parses a manifest's text, including one that a newer version wrote. */
 export function parseAnyManifest(text: string): Result<AnyManifest, Failure> {
   try {
     const parsed = AnyManifest.safeParse(JSON.parse(text));
     if (parsed.success) return ok(parsed.data);
     return err(fromZod("bad_document", parsed.error));
   } catch {
-    return fail("bad_document", "the manifest is not JSON");
+    return fail("bad_document", "the manifest is not valid JSON");
   }
 }
 
-/** A section's content: JSON as it stands in the store, with its digest. */
+/** A section's content: the stored JSON value and its digest. */
 export interface SectionContent {
   readonly digest: string;
   readonly value: unknown;
 }
 
-/** What can be put in force. */
-export interface Assembled {
+/** A document that is ready to become active. */
+export interface AssembledDocument {
   readonly accepted: AcceptedDocument;
-  /** The digest of what is in force of each section. */
+  /** Digest of each section's content in the document. */
   readonly digests: ReadonlyMap<string, string>;
-  /** What of the manifest is not in force, and why. */
+  /** Why sections of the manifest are not in the document. */
   readonly rejected: readonly Failure[];
 }
 
 /**
- * Puts a document together; `before` stands in for sections that cannot be
- * used. Fails where the sections do not fit together even so.
+ * Assembles a document from a manifest. A section that cannot be used falls back
+ * to its content in `before`. Fails if the result is inconsistent.
  *
  * @example
  * ```ts
@@ -69,17 +69,17 @@
     before: ReadonlyMap<string, SectionContent>;
     parse: SectionParser;
   },
-): Result<Assembled, Failure> {
+): Result<AssembledDocument, Failure> {
   const raw: Record<string, unknown> = {};
   const sections: Record<string, ManifestEntry> = {};
   const digests = new Map<string, string>();
   const rejected: Failure[] = [];
   for (const [name, entry] of Object.entries(manifest.sections)) {
-    const wanted = usable(name, contents.get(name), parse);
-    if (wanted.isErr()) rejected.push(wanted.error);
-    const content = wanted.isOk()
-      ? wanted.value
-      : usable(name, before.get(name), parse).unwrapOr(undefined);
+    const candidate = usableContent(name, contents.get(name), parse);
+    if (candidate.isErr()) rejected.push(candidate.error);
+    const content = candidate.isOk()
+      ? candidate.value
+      : usableContent(name, before.get(name), parse).unwrapOr(undefined);
     if (content === undefined) continue;
     raw[name] = content.value;
     sections[name] = entry;
@@ -97,18 +97,22 @@
   }));
 }
 
-function usable(
+function usableContent(
   name: string,
   content: SectionContent | undefined,
   parse: SectionParser,
 ): Result<SectionContent, Failure> {
   if (!SectionName.safeParse(name).success) {
     return err(
-      failure("bad_section", "is not known to this version", { path: [name] }),
+      failure("bad_section", "is not a section name known to this version", {
+        path: [name],
+      }),
     );
   }
   if (content === undefined) {
-    return fail("bad_section", "has no usable content", { path: [name] });
+    return fail("bad_section", "content is missing or corrupt", {
+      path: [name],
+    });
   }
   return parse(name, content.value).map(() => content);
 }
--- a/src/document/content_store.ts
+++ b/src/document/content_store.ts
@@ -1,8 +1,8 @@
 /**
- * Section contents in the platform's store, each named by its digest.
+ * Content-addressed section contents in the platform's store.
  *
- * The store holds values up to a megabyte. A larger section is cut into parts,
- * and an index object under the section's digest says how many there are.
+ * The store holds values of up to a megabyte. A larger section is split into
+ * parts, and an index object under its digest records how many there are.
  *
  * @module
  */
@@ -12,27 +12,27 @@
 import type { Platform } from "../store/mod.ts";
 import { contentKey } from "./manifest.ts";
 
-/** UTF-16 units in a part; three bytes each at most stay below a megabyte. */
-const PART_LENGTH = 300_000;
-/** Parts of one section; with it a section holds up to 19 million units. */
+/** UTF-16 code units per part; at most 3 bytes each, so below a megabyte. */
+const MAX_PART_CODE_UNITS = 300_000;
+/** Parts per section, so that a section has up to 19 million code units. */
 const MAX_PARTS = 64;
-const MAX_CACHED = 1_000;
-const MAX_WRITE_TRIES = 2;
+const MAX_CACHED_CONTENTS = 1_000;
+const MAX_WRITE_ATTEMPTS = 2;
 
 const PartIndex = z.strictObject({
   parts: z.number().int().min(2).max(MAX_PARTS),
 });
 
-/** A section's text, and what it reads as once somebody asked. */
-interface Content {
+/** A section's text, and its parsed value once it has been read. */
+interface CachedContent {
   readonly text: string;
   value: unknown;
 }
 
-/** Stores and finds contents; what was found once is kept, as it never changes. */
+/** Reads and writes contents, with a cache: a digest's content never changes. */
 export class ContentStore {
   readonly #platform: Platform;
-  readonly #cache = new Map<string, Content>();
+  readonly #cache = new Map<string, CachedContent>();
 
   constructor(platform: Platform) {
     this.#platform = platform;
@@ -41,43 +41,43 @@
   /**
    * Reads content by its digest.
    *
-   * Errors: `not_found`, `bad_document` when what stands there is not what the
-   * digest names (cut off or overwritten), and the platform's own.
+   * Errors: `not_found`, `bad_document` when the stored text does not match the
+   * digest (truncated or overwritten), and those of the platform.
    *
-   * The same content gives the same value each time, which nobody may change;
-   * so a change of one section costs nothing for the others.
+   * While it is cached, a content returns the same object each time, which
+   * callers must not change; a change of one section costs the others no parse.
    */
   async get(digest: string): Promise<Result<unknown, Failure>> {
     const cached = this.#cache.get(digest);
-    if (cached !== undefined) return ok(valueOf(cached));
+    if (cached !== undefined) return ok(parsedValue(cached));
     const head = await this.#read(contentKey(digest));
     if (head.isErr()) return err(head.error);
     const text = await this.#assemble(digest, head.value);
     if (text.isErr()) return err(text.error);
-    return ok(valueOf(this.#remember(digest, text.value)));
+    return ok(parsedValue(this.#addToCache(digest, text.value)));
   }
 
-  /** Content that was read or offered before, as text. */
+  /** Text of a cached content. */
   cached(digest: string): string | undefined {
     return this.#cache.get(digest)?.text;
   }
 
-  /** Keeps content that came from elsewhere; gives its digest. */
+  /** Caches content from another source, such as a peer; returns its digest. */
   offer(text: string): string {
     const digest = sha256(text);
-    this.#remember(digest, text);
+    this.#addToCache(digest, text);
     return digest;
   }
 
-  /** Stores content unless it is there; `value_too_large` past all parts. */
+  /** Stores content if absent; `value_too_large` beyond the maximum of parts. */
   async put(text: string): Promise<Result<void, Failure>> {
     const digest = sha256(text);
-    const parts = split(text);
+    const parts = splitIntoParts(text);
     if (parts.length > MAX_PARTS) {
-      const limit = PART_LENGTH * MAX_PARTS;
+      const limit = MAX_PART_CODE_UNITS * MAX_PARTS;
       return fail(
         "value_too_large",
-        `a section may have ${limit} characters, this one has ${text.length}; divide it into parts such as "accounts/a" and "accounts/b"`,
+        `a section is limited to ${limit} characters, this one has ${text.length}; split it into parts such as "accounts/a" and "accounts/b"`,
       );
     }
     if (parts.length === 1) return await this.#write(contentKey(digest), text);
@@ -94,9 +94,12 @@
     head: string,
   ): Promise<Result<string, Failure>> {
     if (sha256(head) === digest) return ok(head);
-    const index = indexOf(head);
-    if (index === undefined) return damaged(digest);
-    const keys = Array.from({ length: index }, (_, i) => partKey(digest, i));
+    const partCount = parsePartCount(head);
+    if (partCount === undefined) return corruptContent(digest);
+    const keys = Array.from(
+      { length: partCount },
+      (_, i) => partKey(digest, i),
+    );
     const parts = await Promise.all(keys.map((key) => this.#read(key)));
     const texts: string[] = [];
     for (const part of parts) {
@@ -104,23 +107,23 @@
       texts.push(part.value);
     }
     const text = texts.join("");
-    return sha256(text) === digest ? ok(text) : damaged(digest);
+    return sha256(text) === digest ? ok(text) : corruptContent(digest);
   }
 
   async #read(key: string): Promise<Result<string, Failure>> {
     const found = await this.#platform.get(key);
     if (found.isErr()) return err(found.error);
-    if (found.value === undefined) return fail("not_found", `no ${key}`);
+    if (found.value === undefined) return fail("not_found", `no object ${key}`);
     return ok(found.value.value);
   }
 
   /**
-   * Writes what can only ever be the same under its key, so a lost answer is
-   * settled by reading back, and by writing again where nothing stands.
+   * Writes content-addressed text. A key only ever holds one text, so a lost
+   * response is resolved by reading back and, if absent, writing again.
    */
   async #write(key: string, text: string): Promise<Result<void, Failure>> {
     let message = "";
-    for (let i = 0; i < MAX_WRITE_TRIES; i++) {
+    for (let i = 0; i < MAX_WRITE_ATTEMPTS; i++) {
       const put = await this.#platform.put(key, text, { ifAbsent: true });
       if (put.isOk() || put.error.code === "conflict") return ok(undefined);
       if (put.error.code !== "platform_outcome_unknown") return err(put.error);
@@ -134,11 +137,11 @@
     );
   }
 
-  #remember(digest: string, text: string): Content {
-    const known = this.#cache.get(digest);
-    if (known) return known;
+  #addToCache(digest: string, text: string): CachedContent {
+    const existing = this.#cache.get(digest);
+    if (existing) return existing;
     const oldest = this.#cache.keys().next();
-    if (this.#cache.size >= MAX_CACHED && !oldest.done) {
+    if (this.#cache.size >= MAX_CACHED_CONTENTS && !oldest.done) {
       this.#cache.delete(oldest.value);
     }
     const content = { text, value: undefined };
@@ -147,7 +150,7 @@
   }
 }
 
-function valueOf(content: Content): unknown {
+function parsedValue(content: CachedContent): unknown {
   content.value ??= JSON.parse(content.text);
   return content.value;
 }
@@ -156,11 +159,11 @@
   return `${contentKey(digest)}/${part}`;
 }
 
-/** Cuts text into parts, never between the halves of a surrogate pair. */
-function split(text: string): string[] {
+/** Splits text into parts, never within a surrogate pair. */
+function splitIntoParts(text: string): string[] {
   const parts: string[] = [];
   for (let from = 0; from < text.length;) {
-    let end = Math.min(text.length, from + PART_LENGTH);
+    let end = Math.min(text.length, from + MAX_PART_CODE_UNITS);
     if (end < text.length && isHighSurrogate(text.charCodeAt(end - 1))) end--;
     parts.push(text.slice(from, end));
     from = end;
@@ -172,7 +175,7 @@
   return unit >= 0xd800 && unit <= 0xdbff;
 }
 
-function indexOf(head: string): number | undefined {
+function parsePartCount(head: string): number | undefined {
   try {
     return PartIndex.safeParse(JSON.parse(head)).data?.parts;
   } catch {
@@ -180,6 +183,6 @@
   }
 }
 
-function damaged(digest: string): Result<never, Failure> {
-  return fail("bad_document", `content ${digest} is damaged in the store`);
+function corruptContent(digest: string): Result<never, Failure> {
+  return fail("bad_document", `content ${digest} in the store is corrupt`);
 }
--- a/src/document/document.ts
+++ b/src/document/document.ts
@@ -1,6 +1,6 @@
 /**
- * The whole steering document: sections merged by kind and checked against
- * each other, so that what is in force never names something that is missing.
+ * The complete steering document: sections merged by kind and checked against
+ * each other, so that the active document has no dangling references.
  *
  * @module
  */
@@ -37,7 +37,7 @@
 /** Sections by name, as parsed JSON. */
 export type RawSections = Readonly<Record<string, unknown>>;
 
-/** A checked document. */
+/** A validated document. */
 export interface SteeringDocument {
   readonly roles: AccessSection["roles"];
   readonly accounts: AccountsSection["accounts"];
@@ -46,7 +46,7 @@
   readonly links: RegionsSection["links"];
   readonly services: ServicesSection["services"];
   readonly sites: Readonly<Record<SiteId, Site>>;
-  /** Client blocks of each section that has sites, by the section's name. */
+  /** Client address blocks of each `sites` section, by section name. */
   readonly siteBlocks: Readonly<Record<string, SiteSection>>;
   readonly drains: readonly DrainEntry[];
 }
@@ -57,10 +57,10 @@
 export type Service = SteeringDocument["services"][ServiceId];
 
 /**
- * Checks sections one by one, merges them, and checks them against each other.
+ * Validates each section, merges them, and checks them against each other.
  *
- * Errors: `bad_section` (one section alone is wrong; the path begins with its
- * name) and `bad_document` (sections contradict each other).
+ * Errors: `bad_section` (a section is invalid on its own; the path starts with
+ * its name) and `bad_document` (sections are inconsistent with each other).
  *
  * @example
  * ```ts
@@ -80,22 +80,22 @@
       issues.push(...section.error.issues ?? [section.error]);
     } else issues.push(...merge(merged, name as SectionName, section.value));
   }
-  if (issues.length === 0) issues.push(...crossCheck(merged));
+  if (issues.length === 0) issues.push(...checkConsistency(merged));
   const [first] = issues;
   if (first === undefined) return ok(merged);
   return err(combine(first.code, issues));
 }
 
-/** Checks one section alone, as {@link parseSection} does. */
+/** Validates one section on its own, as {@link parseSection} does. */
 export type SectionParser = (
   name: string,
   value: unknown,
 ) => Result<Record<string, unknown>, Failure>;
 
 /**
- * Remembers how each section last read, so that a change of one section does
- * not check all others again: at a million client blocks that would stop the
- * process for seconds at every edit.
+ * Caches the last parse of each section, so that a change of one section does
+ * not parse all others again: with a million client address blocks that would
+ * block the event loop for seconds at every edit.
  *
  * @example
  * ```ts
@@ -104,25 +104,25 @@
  * ```
  */
 export class SectionMemo {
-  readonly #last = new Map<string, ReadSection>();
+  readonly #previous = new Map<string, ParsedSection>();
 
-  /** Values are compared by identity and must not be changed. */
+  /** Compares values by identity, so they must not be mutated. */
   readonly parse: SectionParser = (name, value) => {
-    const last = this.#last.get(name);
-    if (last !== undefined && last.value === value) return last.result;
+    const prev = this.#previous.get(name);
+    if (prev !== undefined && prev.value === value) return prev.result;
     const result = parseSection(name, value);
-    this.#last.set(name, { value, result });
+    this.#previous.set(name, { value, result });
     return result;
   };
 }
 
-interface ReadSection {
+interface ParsedSection {
   readonly value: unknown;
   readonly result: Result<Record<string, unknown>, Failure>;
 }
 
 /**
- * Checks one section alone.
+ * Validates one section on its own.
  *
  * @example
  * ```ts
@@ -146,7 +146,7 @@
   const schema: z.ZodType<Record<string, unknown>> =
     SECTION_SCHEMAS[kindOf(sectionName.data)];
   return checkValue("bad_section", schema, value)
-    .map((section) => compact(sectionName.data, section))
+    .map((section) => packSection(sectionName.data, section))
     .mapErr((found) => ({
       ...found,
       path: [name, ...found.path],
@@ -154,8 +154,8 @@
     }));
 }
 
-/** A section as the document holds it: blocks go into packed arrays. */
-function compact(
+/** Converts a section to its in-memory form, with blocks in packed arrays. */
+function packSection(
   name: SectionName,
   section: Record<string, unknown>,
 ): Record<string, unknown> {
@@ -163,7 +163,6 @@
   return packSites(name, section as SitesSection);
 }
 
-/** A document with nothing in it. */
 export function emptyDocument(): Mutable<SteeringDocument> {
   return {
     roles: {},
@@ -180,7 +179,7 @@
 
 type Mutable<T> = { -readonly [K in keyof T]: T[K] };
 
-/** Takes a section in; what another section of its kind already names is refused. */
+/** Merges a section; ids that another section of its kind defines are issues. */
 function merge(
   document: Mutable<SteeringDocument>,
   name: SectionName,
@@ -194,15 +193,15 @@
       });
       continue;
     }
-    const into = (document as Fields)[field] as Record<string, unknown>;
+    const target = (document as Fields)[field] as Record<string, unknown>;
     for (const [id, entry] of Object.entries(value as object)) {
-      if (Object.hasOwn(into, id)) {
+      if (Object.hasOwn(target, id)) {
         issues.push(
-          failure("bad_document", "is also named by another section", {
+          failure("bad_document", "is also defined by another section", {
             path: [name, field, id],
           }),
         );
-      } else into[id] = entry;
+      } else target[id] = entry;
     }
   }
   return issues;
@@ -210,7 +209,7 @@
 
 type Fields = Record<string, unknown>;
 
-function crossCheck(document: SteeringDocument): Failure[] {
+function checkConsistency(document: SteeringDocument): Failure[] {
   return [
     ...checkRates(document),
     ...checkZones(document),
@@ -220,16 +219,20 @@
   ];
 }
 
-function missing(path: FailurePath, what: string): Failure {
-  return failure("bad_document", `names ${what}, which no section has`, {
-    path,
-  });
+function danglingReference(path: FailurePath, what: string): Failure {
+  return failure(
+    "bad_document",
+    `names ${what}, which no section defines`,
+    {
+      path,
+    },
+  );
 }
 
 function checkRates(document: SteeringDocument): Failure[] {
   return Object.keys(document.rates)
     .filter((id) => !Object.hasOwn(document.accounts, id))
-    .map((id) => missing(["rates", id], `account ${id}`));
+    .map((id) => danglingReference(["rates", id], `account ${id}`));
 }
 
 function checkZones(document: SteeringDocument): Failure[] {
@@ -239,7 +242,9 @@
     for (const [endpointId, endpoint] of Object.entries(service.endpoints)) {
       if (zones.has(endpoint.zone)) continue;
       const path = ["services", serviceId, "endpoints", endpointId, "zone"];
-      issues.push(missing(path, `availability zone ${endpoint.zone}`));
+      issues.push(
+        danglingReference(path, `availability zone ${endpoint.zone}`),
+      );
     }
   }
   return issues;
@@ -250,7 +255,10 @@
   return Object.entries(document.sites).flatMap(([id, site]) =>
     [...site.zones.entries()].filter(([, zone]) => !zones.has(zone))
       .map(([i, zone]) =>
-        missing(["sites", id, "zones", i], `availability zone ${zone}`)
+        danglingReference(
+          ["sites", id, "zones", i],
+          `availability zone ${zone}`,
+        )
       )
   );
 }
@@ -259,50 +267,52 @@
   return document.links.flatMap((link, i) =>
     ([["from", link.from], ["to", link.to]] as const)
       .filter(([, region]) => !Object.hasOwn(document.regions, region))
-      .map(([end, region]) => missing(["links", i, end], `region ${region}`))
+      .map(([end, region]) =>
+        danglingReference(["links", i, end], `region ${region}`)
+      )
   );
 }
 
-/** Two accounts with one key would let one act for the other. */
+/** Two accounts with the same key could act for each other. */
 function checkKeys(document: SteeringDocument): Failure[] {
-  const seen = new Map<string, string>();
+  const accountByKey = new Map<string, string>();
   const issues: Failure[] = [];
   for (const [accountId, account] of Object.entries(document.accounts)) {
     for (const [i, key] of account.keys.entries()) {
-      const other = seen.get(key.sha256);
-      if (other !== undefined) {
+      const owner = accountByKey.get(key.sha256);
+      if (owner !== undefined) {
         issues.push(
-          failure("bad_document", `has the same key as account ${other}`, {
+          failure("bad_document", `has the same key as account ${owner}`, {
             path: ["accounts", accountId, "keys", i],
           }),
         );
       }
-      seen.set(key.sha256, accountId);
+      accountByKey.set(key.sha256, accountId);
     }
   }
   return issues;
 }
 
-/** An availability zone and where it stands. */
+/** An availability zone and its region. */
 export interface ZoneEntry {
   readonly zone: ZoneId;
   readonly region: RegionId;
   readonly instances: number;
 }
 
-/** Zones by the regions they were read from; a document never changes. */
+/** Cached zones of each `regions` object; documents are immutable. */
 const zonesByRegions = new WeakMap<
   SteeringDocument["regions"],
   readonly ZoneEntry[]
 >();
 
 /**
- * Every availability zone of a document, in the document's order. Leases ask
- * for it at every spending, so it is worked out once a document.
+ * Every availability zone of a document, in document order. Cached,
+ * because leases read it on every spend.
  */
 export function zonesOf(document: SteeringDocument): readonly ZoneEntry[] {
-  const known = zonesByRegions.get(document.regions);
-  if (known !== undefined) return known;
+  const cached = zonesByRegions.get(document.regions);
+  if (cached !== undefined) return cached;
   const zones = listZones(document);
   zonesByRegions.set(document.regions, zones);
   return zones;
--- a/src/document/document_store.ts
+++ b/src/document/document_store.ts
@@ -31,32 +31,30 @@
 import { ManifestWriter } from "./manifest_writer.ts";
 import type { SectionName } from "./sections.ts";
 
-/** A whole accepted document. */
+/** A complete document, with the manifest that accepted it. */
 export interface AcceptedDocument {
   readonly manifest: Manifest;
   readonly raw: RawSections;
   readonly document: SteeringDocument;
 }
 
-/** One edit: sections to replace, or to remove with `undefined`. */
-export interface Edit {
+/** One edit: sections to replace, or to remove if `undefined`. */
+export interface DocumentEdit {
   readonly author: string;
   readonly sections: ReadonlyMap<SectionName, unknown>;
-  /** Refuse if a section's version differs from the one named here. */
+  /** Versions the edit was made on; a mismatch is a `conflict`. */
   readonly expect?: ReadonlyMap<SectionName, number>;
 }
 
-/** What the store needs besides the platform. */
 export interface DocumentStoreDeps {
   readonly platform: Platform;
   readonly clock: Clock;
   readonly random: Random;
 }
 
-const MAX_WRITE_TRIES = 5;
+const MAX_WRITE_ATTEMPTS = 5;
 const WRITE_ID_BYTES = 12;
-/** How long to wait for a read that is not behind, in milliseconds. */
-const BEHIND_PAUSE_MS = 100;
+const STALE_READ_RETRY_DELAY_MS = 100;
 
 /**
  * The document in the platform's store.
@@ -82,7 +80,7 @@
     });
   }
 
-  /** Reads the manifest; a store without one reads as generation 0. */
+  /** Reads the manifest; generation 0 if the store has none. */
   async manifest(): Promise<Result<Versioned<Manifest>, Failure>> {
     const found = await this.#deps.platform.get(MANIFEST_KEY);
     if (found.isErr()) return err(found.error);
@@ -106,7 +104,7 @@
     return this.#contents.get(digest);
   }
 
-  /** Reads the whole document that a manifest names. */
+  /** Reads the complete document that a manifest describes. */
   async load(manifest: Manifest): Promise<Result<AcceptedDocument, Failure>> {
     const raw: Record<string, unknown> = {};
     for (const [name, entry] of Object.entries(manifest.sections)) {
@@ -118,29 +116,30 @@
   }
 
   /**
-   * Accepts an edit, as one conditional write of the manifest.
+   * Applies an edit with one conditional write of the manifest.
    *
-   * Editors race: the loser's write is refused, and it tries again on the
-   * winner's manifest unless the same section was changed, which is a
-   * `conflict` that names who changed it. A write whose answer is lost is
-   * settled by reading back: the manifest carries the write's id.
+   * If a concurrent edit wins, the edit is retried on the winner's manifest,
+   * unless the same section was changed: that is a `conflict` that names the
+   * author. A write whose response is lost is resolved by reading back the
+   * manifest, which carries the write's id.
    */
-  async apply(edit: Edit): Promise<Result<AcceptedDocument, Failure>> {
+  async apply(edit: DocumentEdit): Promise<Result<AcceptedDocument, Failure>> {
     let expect = edit.expect;
-    let last = KEPT_CHANGING;
-    for (let i = 0; i < MAX_WRITE_TRIES; i++) {
+    let lastFailure = TOO_MANY_CONFLICTS;
+    for (let i = 0; i < MAX_WRITE_ATTEMPTS; i++) {
       const base = await this.manifest();
       if (base.isErr()) return err(base.error);
-      if (isBehind(base.value.value, edit)) {
-        // Told from this read, the editor would lose against its own past.
-        last = BEHIND;
-        await sleep(this.#deps.clock, BEHIND_PAUSE_MS);
+      if (isStaleRead(base.value.value, edit)) {
+        // A stale read would be reported as a conflict with a version older
+        // than the edit's own base version.
+        lastFailure = STALE_READ;
+        await sleep(this.#deps.clock, STALE_READ_RETRY_DELAY_MS);
         continue;
       }
       const conflict = findConflict(base.value.value, expect);
       if (conflict) return err(conflict);
-      expect ??= versionsOf(base.value.value, edit);
-      const next = await this.#next(base.value.value, edit);
+      expect ??= currentVersions(base.value.value, edit);
+      const next = await this.#buildNext(base.value.value, edit);
       if (next.isErr()) return err(next.error);
       const written = await this.#writer.write(
         next.value.manifest,
@@ -149,12 +148,12 @@
       if (written.isErr()) return err(written.error);
       if (written.value) return ok(next.value);
     }
-    return err(last);
+    return err(lastFailure);
   }
 
-  async #next(
+  async #buildNext(
     base: Manifest,
-    edit: Edit,
+    edit: DocumentEdit,
   ): Promise<Result<AcceptedDocument, Failure>> {
     const current = await this.load(base);
     if (current.isErr()) return err(current.error);
@@ -167,7 +166,7 @@
         continue;
       }
       raw[name] = value;
-      sections[name] = this.#entry(value, edit, base.generation + 1);
+      sections[name] = this.#manifestEntry(value, edit, base.generation + 1);
     }
     const document = parseDocument(raw);
     if (document.isErr()) return err(document.error);
@@ -181,7 +180,11 @@
     return ok({ manifest, raw, document: document.value });
   }
 
-  #entry(value: unknown, edit: Edit, version: number): ManifestEntry {
+  #manifestEntry(
+    value: unknown,
+    edit: DocumentEdit,
+    version: number,
+  ): ManifestEntry {
     return {
       version,
       sha256: sha256(canonicalJson(value)),
@@ -190,8 +193,8 @@
     };
   }
 
-  /** Contents go first, so that a manifest never names what is not there. */
-  async #storeContents(edit: Edit): Promise<Result<void, Failure>> {
+  /** Runs before the manifest write, so that a manifest has all its contents. */
+  async #storeContents(edit: DocumentEdit): Promise<Result<void, Failure>> {
     for (const value of edit.sections.values()) {
       if (value === undefined) continue;
       const put = await this.#contents.put(canonicalJson(value));
@@ -201,28 +204,31 @@
   }
 }
 
-const KEPT_CHANGING = failure(
+const TOO_MANY_CONFLICTS = failure(
   "conflict",
-  "the document kept changing; nothing was written",
+  "every write attempt lost to a concurrent edit; nothing was written",
 );
 
-const BEHIND = failure(
+const STALE_READ = failure(
   "platform_unavailable",
-  "the store's reads are behind the edit; nothing was written",
+  "the store returned a manifest older than the version the edit was made on; nothing was written",
 );
 
-/** Reads a manifest from the text that the store holds. */
+/** Parses a manifest's stored text. */
 export function parseManifest(text: string): Result<Manifest, Failure> {
   try {
     const parsed = Manifest.safeParse(JSON.parse(text));
     if (parsed.success) return ok(parsed.data);
     return err(fromZod("bad_document", parsed.error));
   } catch {
-    return fail("bad_document", "the manifest is not JSON");
+    return fail("bad_document", "the manifest is not valid JSON");
   }
 }
 
-function versionsOf(base: Manifest, edit: Edit): Map<SectionName, number> {
+function currentVersions(
+  base: Manifest,
+  edit: DocumentEdit,
+): Map<SectionName, number> {
   const names = [...edit.sections.keys()];
   return new Map(names.map((n) => [n, base.sections[n]?.version ?? 0]));
 }
@@ -235,13 +241,13 @@
     const entry = base.sections[name];
     const found = entry?.version ?? 0;
     if (found === version) continue;
-    const by = entry
+    const reason = entry
       ? `changed by ${entry.author} at ${
         new Date(entry.changed_at).toISOString()
       }`
       : "it was removed";
     const message =
-      `section is at version ${found}, ${by}; the edit was made on version ${version}`;
+      `section is at version ${found}, ${reason}; the edit was made on version ${version}`;
     const change = entry && {
       author: entry.author,
       version: entry.version,
@@ -252,8 +258,8 @@
   return undefined;
 }
 
-/** Whether a read is older than what the editor has already seen. */
-function isBehind(base: Manifest, edit: Edit): boolean {
+/** Whether a manifest is older than a version the edit was made on. */
+function isStaleRead(base: Manifest, edit: DocumentEdit): boolean {
   const versions = [...edit.expect?.values() ?? []];
   return versions.some((version) => base.generation < version);
 }
--- a/src/document/document_store_faults_test.ts
+++ b/src/document/document_store_faults_test.ts
@@ -2,36 +2,36 @@
 import { type Failure, SeededRandom, SystemClock } from "../core/mod.ts";
 import { MemoryPlatform } from "../store/mod.ts";
 import { FaultyPlatform } from "../store/testing/mod.ts";
-import { DocumentStore, type Edit } from "./document_store.ts";
+import { type DocumentEdit, DocumentStore } from "./document_store.ts";
 import { contentKey, MANIFEST_KEY } from "./manifest.ts";
 import type { SectionName } from "./sections.ts";
 
-interface Subject {
-  readonly truth: MemoryPlatform;
+interface Setup {
+  readonly backing: MemoryPlatform;
   readonly platform: FaultyPlatform;
   readonly store: DocumentStore;
-  /** A second editor, past all faults. */
-  readonly other: DocumentStore;
+  /** A second editor, whose store access has no faults. */
+  readonly otherStore: DocumentStore;
 }
 
-function setup(): Subject {
+function setup(): Setup {
   const clock = new SystemClock();
-  const truth = new MemoryPlatform(clock);
-  const platform = new FaultyPlatform(truth, clock);
+  const backing = new MemoryPlatform(clock);
+  const platform = new FaultyPlatform(backing, clock);
   const deps = { clock, random: new SeededRandom(1) };
   const store = new DocumentStore({ ...deps, platform });
-  const other = new DocumentStore({
+  const otherStore = new DocumentStore({
     clock,
     random: new SeededRandom(2),
-    platform: truth,
+    platform: backing,
   });
-  return { truth, platform, store, other };
+  return { backing, platform, store, otherStore };
 }
 
 function edit(
   sections: Record<string, unknown>,
   { author = "team-a", expect }: { author?: string; expect?: number } = {},
-): Edit {
+): DocumentEdit {
   const entries = Object.entries(sections) as [SectionName, unknown][];
   const names = entries.map(([name]) => name);
   return {
@@ -47,41 +47,41 @@
   return { accounts: Object.fromEntries(ids.map((id) => [id, {}])) };
 }
 
-interface Row {
+interface Case {
   readonly name: string;
-  readonly run: (t: ExecutionContext, s: Subject) => Promise<void>;
+  readonly run: (t: ExecutionContext, s: Setup) => Promise<void>;
 }
 
-const ROWS: Row[] = [
+const CASES: Case[] = [
   {
-    // Every write takes effect and loses its answer. The operator is told that
-    // the edit was accepted, as it was, and finds it there once.
-    name: "a lost answer to an accepted edit is settled by reading back",
-    run: async (t, { platform, store, other }) => {
+    // Every write takes effect but its response is lost. The edit must be
+    // reported as accepted and be applied once.
+    name: "a lost response to an accepted edit is resolved by reading back",
+    run: async (t, { platform, store, otherStore }) => {
       platform.faults.loseAnswers = "applied";
-      const done = await store.apply(edit({ accounts: accounts("a1") }));
-      t.is(done._unsafeUnwrap().manifest.generation, 1);
-      const now = (await other.manifest())._unsafeUnwrap().value;
+      const result = await store.apply(edit({ accounts: accounts("a1") }));
+      t.is(result._unsafeUnwrap().manifest.generation, 1);
+      const now = (await otherStore.manifest())._unsafeUnwrap().value;
       t.is(now.generation, 1);
     },
   },
   {
-    // No write reaches the store. The operator must not be told that the edit
-    // is in force, and nothing of it may be.
-    name: "an edit of which no write arrives is refused",
-    run: async (t, { platform, store, other }) => {
+    // No write reaches the store. The edit must not be reported as accepted, and
+    // no part of it may be applied.
+    name: "an edit whose writes never reach the store fails",
+    run: async (t, { platform, store, otherStore }) => {
       platform.faults.loseAnswers = "dropped";
-      const done = await store.apply(edit({ accounts: accounts("a1") }));
-      t.is(done._unsafeUnwrapErr().code, "platform_unavailable");
-      const now = (await other.manifest())._unsafeUnwrap().value;
+      const result = await store.apply(edit({ accounts: accounts("a1") }));
+      t.is(result._unsafeUnwrapErr().code, "platform_unavailable");
+      const now = (await otherStore.manifest())._unsafeUnwrap().value;
       t.is(now.generation, 0);
     },
   },
   {
-    // The first write is lost on the way and the store is well again. It is
-    // sent once more, and the operator need not.
-    name: "a write that was lost on the way is sent again",
-    run: async (t, { platform, store, other }) => {
+    // Only the first manifest write is lost before it reaches the store. It must
+    // be retried without help from the operator.
+    name: "a write that did not reach the store is retried",
+    run: async (t, { platform, store, otherStore }) => {
       const inner = platform.put.bind(platform);
       platform.put = async (key, value, condition) => {
         const first = key === MANIFEST_KEY && !writes.has(key);
@@ -90,132 +90,133 @@
         return await inner(key, value, condition);
       };
       const writes = new Set<string>();
-      const done = await store.apply(edit({ accounts: accounts("a1") }));
-      t.is(done._unsafeUnwrap().manifest.generation, 1);
-      t.is((await other.manifest())._unsafeUnwrap().value.generation, 1);
+      const result = await store.apply(edit({ accounts: accounts("a1") }));
+      t.is(result._unsafeUnwrap().manifest.generation, 1);
+      t.is((await otherStore.manifest())._unsafeUnwrap().value.generation, 1);
     },
   },
   {
-    // The answer was lost, and before it could be read back another editor's
-    // change came on top. Whether ours is in it is not known, and is said so.
-    name: "a lost answer under a later change is reported as unknown",
-    run: async (t, { truth, platform, store, other }) => {
+    // The response is lost, and a second editor replaces the manifest before it
+    // is read back. Whether the first edit took effect cannot be determined.
+    name: "a lost response followed by another edit is reported as unknown",
+    run: async (t, { backing, platform, store, otherStore }) => {
       const inner = platform.put.bind(platform);
       let raced = false;
       platform.put = async (key, value, condition) => {
         const put = await inner(key, value, condition);
         if (key !== MANIFEST_KEY || raced) return put;
         raced = true;
-        await other.apply(edit({ rates: { rates: {} } }, { author: "b" }));
+        await otherStore.apply(edit({ rates: { rates: {} } }, { author: "b" }));
         platform.faults.loseAnswers = "none";
         return put;
       };
       platform.faults.loseAnswers = "applied";
-      const done = await store.apply(edit({ accounts: accounts("a1") }));
-      t.is(done._unsafeUnwrapErr().code, "platform_outcome_unknown");
-      t.true((await truth.get(MANIFEST_KEY)).isOk());
+      const result = await store.apply(edit({ accounts: accounts("a1") }));
+      t.is(result._unsafeUnwrapErr().code, "platform_outcome_unknown");
+      t.true((await backing.get(MANIFEST_KEY)).isOk());
     },
   },
   {
-    // Two operators began from the same version. The loser learns who was
-    // first, when, and at which version, and its edit undoes nothing.
-    name: "the loser of a race is told of the other change",
-    run: async (t, { store, other }) => {
+    // Two operators edit the same version. The conflict must name the winning
+    // author, version and time, and must not overwrite the winning edit.
+    name: "a conflict reports the winning edit",
+    run: async (t, { store, otherStore }) => {
       await store.apply(edit({ accounts: accounts("a1") }));
       const next = edit({ accounts: accounts("b1") }, {
         author: "team-b",
         expect: 1,
       });
-      await other.apply(next);
-      const lost = await store.apply(
+      await otherStore.apply(next);
+      const loser = await store.apply(
         edit({ accounts: accounts("c1") }, { expect: 1 }),
       );
-      const failure: Failure = lost._unsafeUnwrapErr();
+      const failure: Failure = loser._unsafeUnwrapErr();
       t.is(failure.code, "conflict");
       t.is(failure.change?.author, "team-b");
       t.is(failure.change?.version, 2);
     },
   },
   {
-    name: "races on different sections are all accepted",
-    run: async (t, { store, other }) => {
+    name: "concurrent edits of different sections are all accepted",
+    run: async (t, { store, otherStore }) => {
       await store.apply(edit({ accounts: accounts("a1") }));
-      const done = await Promise.all([
+      const results = await Promise.all([
         store.apply(edit({ "accounts/x": accounts("x1") })),
-        other.apply(edit({ "accounts/y": accounts("y1") })),
+        otherStore.apply(edit({ "accounts/y": accounts("y1") })),
         store.apply(edit({ drains: { drains: [] } })),
       ]);
-      t.true(done.every((d) => d.isOk()));
-      const now = (await other.manifest())._unsafeUnwrap().value;
+      t.true(results.every((d) => d.isOk()));
+      const now = (await otherStore.manifest())._unsafeUnwrap().value;
       t.is(now.generation, 4);
       t.is(Object.keys(now.sections).length, 4);
     },
   },
   {
-    // Reads come from a copy that is behind. An edit built on it would undo
-    // the last change; the condition on the write keeps it out.
-    name: "an edit made on a stale read undoes nothing",
-    run: async (t, { platform, store, other }) => {
+    // Reads come from a lagging replica. An edit based on one would undo the last
+    // change; the conditional write must reject it.
+    name: "an edit based on a stale read does not undo a newer edit",
+    run: async (t, { platform, store, otherStore }) => {
       await store.apply(edit({ accounts: accounts("a1") }));
       await store.apply(edit({ accounts: accounts("a1", "a2") }));
       platform.faults.staleReads = true;
-      const done = await store.apply(edit({ accounts: accounts("a3") }));
-      t.true(done.isErr());
-      const manifest = (await other.manifest())._unsafeUnwrap().value;
-      const now = (await other.load(manifest))._unsafeUnwrap();
+      const result = await store.apply(edit({ accounts: accounts("a3") }));
+      t.true(result.isErr());
+      const manifest = (await otherStore.manifest())._unsafeUnwrap().value;
+      const now = (await otherStore.load(manifest))._unsafeUnwrap();
       t.deepEqual(Object.keys(now.document.accounts), ["a1", "a2"]);
     },
   },
   {
-    // An editor that has seen version 2 meets a copy at version 1. To call it
-    // a conflict with version 1 would be untrue.
-    name: "a read behind the editor's own version is not a conflict",
+    // An editor that has read version 2 then reads a replica at version 1, which
+    // must not be reported as a conflict with version 1.
+    name: "a read older than the edit's base version is not a conflict",
     run: async (t, { platform, store }) => {
       await store.apply(edit({ accounts: accounts("a1") }));
       await store.apply(edit({ accounts: accounts("a2") }));
       platform.faults.staleReads = true;
       const next = edit({ accounts: accounts("a3") }, { expect: 2 });
-      const done = await store.apply(next);
-      t.is(done._unsafeUnwrapErr().code, "platform_unavailable");
+      const result = await store.apply(next);
+      t.is(result._unsafeUnwrapErr().code, "platform_unavailable");
     },
   },
   {
-    // A section is removed and made again while an editor holds its old
-    // version. Counting from one again would let the old edit through.
-    name: "a section that was made anew does not take an edit of the old one",
+    // A section is removed and recreated while an editor holds its old version.
+    // If versions restarted at 1, the stale edit would be accepted.
+    name: "a recreated section rejects an edit of the old one",
     run: async (t, { store }) => {
       await store.apply(edit({ drains: { drains: [] } }));
       await store.apply(edit({ drains: undefined }));
       await store.apply(edit({ drains: { drains: [] } }));
-      const late = await store.apply(
+      const stale = await store.apply(
         edit({ drains: { drains: [] } }, { expect: 1 }),
       );
-      t.is(late._unsafeUnwrapErr().code, "conflict");
+      t.is(stale._unsafeUnwrapErr().code, "conflict");
     },
   },
   {
-    name: "a section over a megabyte is stored in parts and read whole",
-    run: async (t, { store, other }) => {
+    name: "a section over a megabyte is stored in parts and reassembled",
+    run: async (t, { store, otherStore }) => {
       const name = "ü€𝄞".repeat(50);
       const ids = Array.from({ length: 6_000 }, (_, i) => `a${i}`);
       const entries = ids.map((id) => [id, { name }]);
       const section = { accounts: Object.fromEntries(entries) };
-      const done = await store.apply(edit({ accounts: section }));
-      const manifest = done._unsafeUnwrap().manifest;
-      const read = (await other.load(manifest))._unsafeUnwrap();
+      const result = await store.apply(edit({ accounts: section }));
+      const manifest = result._unsafeUnwrap().manifest;
+      const read = (await otherStore.load(manifest))._unsafeUnwrap();
       t.deepEqual(read.raw, { accounts: section });
     },
   },
   {
-    // A value was cut off in the store. Taken as it is, it could be a document
-    // with accounts missing; its digest shows the damage.
-    name: "a damaged content is refused",
-    run: async (t, { truth, platform, store, other }) => {
-      const done = await store.apply(edit({ accounts: accounts("a1") }));
-      const digest = done._unsafeUnwrap().manifest.sections["accounts" as Name]
-        ?.sha256 ?? "";
+    // A stored value is truncated. Accepted as is, it could be a document with
+    // accounts missing; the digest check must reject it.
+    name: "a corrupt content is rejected",
+    run: async (t, { backing, platform, store, otherStore }) => {
+      const result = await store.apply(edit({ accounts: accounts("a1") }));
+      const digest =
+        result._unsafeUnwrap().manifest.sections["accounts" as Name]
+          ?.sha256 ?? "";
       t.true(
-        (await truth.get(contentKey(digest)))._unsafeUnwrap() !== undefined,
+        (await backing.get(contentKey(digest)))._unsafeUnwrap() !== undefined,
       );
       platform.faults.brokenBodies = true;
       const fresh = new DocumentStore({
@@ -223,19 +224,19 @@
         clock: new SystemClock(),
         random: new SeededRandom(3),
       });
-      const { manifest } = done._unsafeUnwrap();
+      const { manifest } = result._unsafeUnwrap();
       t.is(
         (await fresh.load(manifest))._unsafeUnwrapErr().code,
         "bad_document",
       );
       t.is((await fresh.manifest())._unsafeUnwrapErr().code, "bad_document");
-      t.true((await other.load(manifest)).isOk());
+      t.true((await otherStore.load(manifest)).isOk());
     },
   },
 ];
 
 type Name = SectionName;
 
-for (const row of ROWS) {
+for (const row of CASES) {
   test(row.name, (t) => row.run(t, setup()));
 }
--- a/src/document/document_store_test.ts
+++ b/src/document/document_store_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { ManualClock, SeededRandom } from "../core/mod.ts";
 import { MemoryPlatform } from "../store/mod.ts";
-import { DocumentStore, type Edit } from "./document_store.ts";
+import { type DocumentEdit, DocumentStore } from "./document_store.ts";
 import type { SectionName } from "./sections.ts";
 
 function setup() {
@@ -15,7 +15,7 @@
   return { platform, store };
 }
 
-function edit(name: string, value: unknown, version?: number): Edit {
+function edit(name: string, value: unknown, version?: number): DocumentEdit {
   const section = name as SectionName;
   return {
     author: "tester",
@@ -36,7 +36,7 @@
   t.is(second._unsafeUnwrap().manifest.generation, 2);
 });
 
-test("a rate for an account that no section has is refused with its path", async (t) => {
+test("a rate for an undefined account is rejected with its path", async (t) => {
   const { store } = setup();
   const refused = await store.apply(
     edit("rates", { rates: { nobody: { rate_per_s: 5, burst: 5 } } }),
@@ -46,9 +46,9 @@
   t.is((await store.manifest())._unsafeUnwrap().value.generation, 0);
 });
 
-test("two operators edit the same section from the same version", async (t) => {
-  // Both read version 1 and each sends an edit. Without the check the later
-  // one would silently undo the earlier one, and its author would never know.
+test("the second of two edits of the same section version conflicts", async (t) => {
+  // Both operators read version 1. Without the version check the later edit would
+  // silently overwrite the earlier one.
   const { store } = setup();
   await store.apply(edit("accounts", ACCOUNTS));
   const winner = await store.apply(edit("accounts", { accounts: {} }, 1));
--- a/src/document/drain_edit.ts
+++ b/src/document/drain_edit.ts
@@ -10,53 +10,53 @@
 import type { SectionChange } from "./section_edit.ts";
 import type { DrainEntry, DrainsSection, SectionName } from "./sections.ts";
 
-/** The section that drains go to unless another is named. */
+/** The section used unless another is given. */
 export const DRAINS: SectionName = "drains" as SectionName;
 
 /**
- * Adds a drain; `not_found` if the document names no such endpoint, zone or
- * region, since a drain of a mistyped name would drain nothing.
+ * Adds a drain; `not_found` if the document has no such endpoint, zone or
+ * region, because a drain of a mistyped id would have no effect.
  */
 export function addDrain(
-  now: AcceptedDocument,
+  current: AcceptedDocument,
   drain: DrainEntry,
   name: SectionName = DRAINS,
 ): Result<SectionChange, Failure> {
-  const known = knownIds(now.document, drain.kind);
+  const known = knownIds(current.document, drain.kind);
   if (known !== undefined && !known.includes(drain.id)) {
     return fail("not_found", unknownName(drain.kind, drain.id, known));
   }
-  const drains = drainsOf(now, name).filter((d) => !same(d, drain));
+  const drains = drainsOf(current, name).filter((d) => !isSameDrain(d, drain));
   return ok({ name, value: { drains: [...drains, drain] } });
 }
 
-/** Removes a drain; `not_found` if the section has none such. */
+/** Removes a drain; `not_found` if the section does not have it. */
 export function removeDrain(
-  now: AcceptedDocument,
+  current: AcceptedDocument,
   drain: DrainEntry,
   name: SectionName = DRAINS,
 ): Result<SectionChange, Failure> {
-  const drains = drainsOf(now, name);
-  const rest = drains.filter((d) => !same(d, drain));
-  if (rest.length === drains.length) {
+  const drains = drainsOf(current, name);
+  const remaining = drains.filter((d) => !isSameDrain(d, drain));
+  if (remaining.length === drains.length) {
     return fail(
       "not_found",
       `${name} has no drain of ${drain.kind} ${drain.id}`,
     );
   }
-  return ok({ name, value: { drains: rest } });
+  return ok({ name, value: { drains: remaining } });
 }
 
-function drainsOf(now: AcceptedDocument, name: SectionName): DrainEntry[] {
-  const section = now.raw[name] as Partial<DrainsSection> | undefined;
+function drainsOf(current: AcceptedDocument, name: SectionName): DrainEntry[] {
+  const section = current.raw[name] as Partial<DrainsSection> | undefined;
   return section?.drains ?? [];
 }
 
-function same(a: DrainEntry, b: DrainEntry): boolean {
+function isSameDrain(a: DrainEntry, b: DrainEntry): boolean {
   return a.kind === b.kind && a.id === b.id;
 }
 
-/** Ids that a drain may name; instances are not in the document. */
+/** Ids that can be drained; undefined for instances, which no section lists. */
 function knownIds(
   document: SteeringDocument,
   kind: DrainEntry["kind"],
--- a/src/document/hostile_input_test.ts
+++ b/src/document/hostile_input_test.ts
@@ -19,11 +19,11 @@
   parseManifest,
 } from "./mod.ts";
 
-const RUNS = { seed: 20_261_202, numRuns: 300 };
-const FEW = { seed: 20_261_202, numRuns: 60 };
+const PROPERTY_PARAMS = { seed: 20_261_202, numRuns: 300 };
+const SLOW_PROPERTY_PARAMS = { seed: 20_261_202, numRuns: 60 };
 
-/** Values of any shape, with the names that code may trip over. */
-const hostile = fc.anything({
+/** Values of any shape, with keys that collide with built-in properties. */
+const arbitraryValue = fc.anything({
   withBigInt: true,
   withDate: true,
   withNullPrototype: true,
@@ -45,47 +45,55 @@
   drains: { drains: [{ kind: "zone", id: "gulf-a" }] },
 };
 
-/** The value with whatever stands at the path put in place of what was there. */
-function planted(value: unknown, path: number[], put: unknown): unknown {
+/** The value with one path replaced; arrays on it keep only that element. */
+function replaceAt(
+  value: unknown,
+  path: number[],
+  replacement: unknown,
+): unknown {
   const [step, ...rest] = path;
   if (step === undefined || value === null || typeof value !== "object") {
-    return put;
+    return replacement;
   }
   const keys = Object.keys(value);
   const key = keys[step % Math.max(1, keys.length)];
-  if (key === undefined) return put;
+  if (key === undefined) return replacement;
   const inner = (value as Record<string, unknown>)[key];
   return Array.isArray(value)
-    ? [planted(inner, rest, put)]
-    : { ...value, [key]: planted(inner, rest, put) };
+    ? [replaceAt(inner, rest, replacement)]
+    : { ...value, [key]: replaceAt(inner, rest, replacement) };
 }
 
-test("any value as settings gives settings or a typed refusal", (t) => {
+test("arbitrary settings values parse or fail with a typed error", (t) => {
   fc.assert(
-    fc.property(hostile, (value) => {
+    fc.property(arbitraryValue, (value) => {
       const parsed = parseSettings(value);
       if (parsed.isErr()) t.is(parsed.error.code, "bad_settings");
     }),
-    RUNS,
+    PROPERTY_PARAMS,
   );
 });
 
-test("settings with anything planted anywhere", (t) => {
+test("valid settings with an arbitrary value at an arbitrary path", (t) => {
   const valid = {
     instance: { id: "i", zone: "z", region: "r" },
     platform: { url: "http://127.0.0.1:1", timeout_ms: 100 },
     caller: { host: "127.0.0.1", port: 0, limits: { connections: 5 } },
   };
   fc.assert(
-    fc.property(fc.array(fc.nat(9), { maxLength: 4 }), hostile, (path, put) => {
-      const parsed = parseSettings(planted(valid, path, put));
-      if (parsed.isErr()) t.is(parsed.error.code, "bad_settings");
-    }),
-    RUNS,
+    fc.property(
+      fc.array(fc.nat(9), { maxLength: 4 }),
+      arbitraryValue,
+      (path, replacement) => {
+        const parsed = parseSettings(replaceAt(valid, path, replacement));
+        if (parsed.isErr()) t.is(parsed.error.code, "bad_settings");
+      },
+    ),
+    PROPERTY_PARAMS,
   );
 });
 
-test("any file as settings gives settings or a refusal that names it", async (t) => {
+test("arbitrary settings files fail with an error that names the file", async (t) => {
   const dir = await mkdtemp(join(tmpdir(), "magnoliahook-hostile-"));
   t.teardown(() => rm(dir, { recursive: true }));
   const file = join(dir, "s.toml");
@@ -100,38 +108,38 @@
       const loaded = await loadSettings(file);
       t.true(loaded.isErr() && loaded.error.message.includes(file));
     }),
-    FEW,
+    SLOW_PROPERTY_PARAMS,
   );
 });
 
-test("sections with anything planted anywhere", (t) => {
+test("valid sections with an arbitrary value at an arbitrary path", (t) => {
   fc.assert(
     fc.property(
       fc.constantFrom(...Object.keys(VALID)),
       fc.array(fc.nat(9), { maxLength: 6 }),
-      hostile,
+      arbitraryValue,
       (name, path, put) => {
-        const section = planted(VALID[name], path, put);
+        const section = replaceAt(VALID[name], path, put);
         const parsed = parseDocument({ ...VALID, [name]: section });
         if (parsed.isOk()) return;
         t.true(["bad_section", "bad_document"].includes(parsed.error.code));
       },
     ),
-    RUNS,
+    PROPERTY_PARAMS,
   );
 });
 
-test("any names of sections", (t) => {
+test("arbitrary section names", (t) => {
   fc.assert(
-    fc.property(fc.dictionary(fc.string(), hostile), (raw) => {
+    fc.property(fc.dictionary(fc.string(), arbitraryValue), (raw) => {
       t.notThrows(() => parseDocument(raw));
     }),
-    RUNS,
+    PROPERTY_PARAMS,
   );
 });
 
-test("any text of the store as manifest or summary", (t) => {
-  const text = fc.oneof(fc.string(), fc.json(), hostile.map(jsonOf));
+test("arbitrary stored text as manifest or summary", (t) => {
+  const text = fc.oneof(fc.string(), fc.json(), arbitraryValue.map(toJson));
   fc.assert(
     fc.property(text, (value) => {
       for (const parse of [parseManifest, parseAnyManifest]) {
@@ -140,17 +148,17 @@
       }
       t.notThrows(() => parseSummary(value));
     }),
-    RUNS,
+    PROPERTY_PARAMS,
   );
 });
 
-function jsonOf(value: unknown): string {
+function toJson(value: unknown): string {
   const replacer = (_: string, v: unknown) =>
     typeof v === "bigint" ? String(v) : v;
   return JSON.stringify(value, replacer) ?? "";
 }
 
-test("any text of the store as a section's content", async (t) => {
+test("arbitrary stored text as a section's content", async (t) => {
   const text = fc.oneof(
     fc.string(),
     fc.json(),
@@ -165,13 +173,13 @@
       const { code } = got._unsafeUnwrapErr();
       t.true(["bad_document", "not_found"].includes(code), code);
     }),
-    RUNS,
+    PROPERTY_PARAMS,
   );
 });
 
-test("any answer of the platform's service", async (t) => {
-  // The service behind the platform's address answers with another program's
-  // pages, or cuts answers off. Each call ends with a result.
+test("arbitrary responses of the platform's service", async (t) => {
+  // The platform's address serves another program's responses or truncates
+  // them. Each call must still return a result.
   let answer = { status: 200, body: "", etag: "" };
   const server = createServer((_req, res) => {
     res.writeHead(answer.status, answer.etag ? { etag: answer.etag } : {});
@@ -203,7 +211,7 @@
       ]);
       for (const result of results) t.true(result.isOk() || result.isErr());
     }),
-    FEW,
+    SLOW_PROPERTY_PARAMS,
   );
   t.true(Buffer.byteLength(answer.body) >= 0);
 });
--- a/src/document/key_edit.ts
+++ b/src/document/key_edit.ts
@@ -9,7 +9,7 @@
 import type { SectionChange } from "./section_edit.ts";
 import { kindOf, type SectionName } from "./sections.ts";
 
-/** Sections as their owners wrote them, before defaults are filled in. */
+/** An `accounts` section as stored, before defaults are applied. */
 interface RawAccounts {
   readonly accounts: Readonly<Record<string, { keys?: readonly RawKey[] }>>;
 }
@@ -20,25 +20,25 @@
   readonly withdrawn?: boolean;
 }
 
-/** Adds a key, by its digest, to an account. */
+/** Adds a key's digest to an account. */
 export function issueKey(
-  now: AcceptedDocument,
+  current: AcceptedDocument,
   account: string,
   key: { readonly id: string; readonly sha256: string },
 ): Result<SectionChange, Failure> {
-  return changeKeys(now, account, (keys) => {
+  return updateKeys(current, account, (keys) => {
     if (!keys.some((k) => k.id === key.id)) return ok([...keys, key]);
-    return fail("conflict", `account ${account} has a key ${key.id} already`);
+    return fail("conflict", `account ${account} already has a key ${key.id}`);
   });
 }
 
-/** Marks a key as withdrawn; it stays named, so that it is not issued again. */
+/** Marks a key as withdrawn; it stays listed, so that its id is not reused. */
 export function withdrawKey(
-  now: AcceptedDocument,
+  current: AcceptedDocument,
   account: string,
   id: string,
 ): Result<SectionChange, Failure> {
-  return changeKeys(now, account, (keys) => {
+  return updateKeys(current, account, (keys) => {
     const ids = keys.map((k) => k.id);
     if (!ids.includes(id)) {
       return fail("not_found", unknownName("key", id, ids));
@@ -47,17 +47,17 @@
   });
 }
 
-function changeKeys(
-  now: AcceptedDocument,
+function updateKeys(
+  current: AcceptedDocument,
   account: string,
-  change: (keys: readonly RawKey[]) => Result<RawKey[], Failure>,
+  update: (keys: readonly RawKey[]) => Result<RawKey[], Failure>,
 ): Result<SectionChange, Failure> {
-  for (const [name, raw] of Object.entries(now.raw)) {
+  for (const [name, raw] of Object.entries(current.raw)) {
     if (kindOf(name as SectionName) !== "accounts") continue;
     const section = raw as RawAccounts;
     if (!Object.hasOwn(section.accounts, account)) continue;
     const entry = section.accounts[account];
-    const keys = change(entry?.keys ?? []);
+    const keys = update(entry?.keys ?? []);
     if (keys.isErr()) return err(keys.error);
     const accounts = {
       ...section.accounts,
@@ -65,6 +65,6 @@
     };
     return ok({ name: name as SectionName, value: { ...section, accounts } });
   }
-  const known = Object.keys(now.document.accounts);
+  const known = Object.keys(current.document.accounts);
   return fail("not_found", unknownName("account", account, known));
 }
--- a/src/document/manifest_writer.ts
+++ b/src/document/manifest_writer.ts
@@ -1,6 +1,6 @@
 /**
- * The one conditional write by which an edit is accepted, and what becomes of
- * it when its answer is lost.
+ * The conditional write of the manifest that accepts an edit, and how its
+ * outcome is resolved when the response is lost.
  *
  * @module
  */
@@ -9,23 +9,21 @@
 import type { Platform, Versioned } from "../store/mod.ts";
 import { canonicalJson, type Manifest, MANIFEST_KEY } from "./manifest.ts";
 
-/** What a writer needs. */
 export interface ManifestWriterDeps {
   readonly platform: Platform;
   readonly clock: Clock;
-  /** Reads the manifest as it stands. */
+  /** Reads the current manifest. */
   readonly read: () => Promise<Result<Versioned<Manifest>, Failure>>;
 }
 
-const MAX_SETTLE_TRIES = 4;
-const SETTLE_PAUSE_MS = 100;
+const MAX_ATTEMPTS = 4;
+const RETRY_DELAY_MS = 100;
 
-const UNSETTLED = failure(
+const OUTCOME_UNKNOWN = failure(
   "platform_outcome_unknown",
-  "the write's answer was lost and a later change stands; read the section before trying again",
+  "the response to the write was lost and a later write has replaced the manifest; read the section before retrying",
 );
 
-/** Writes manifests. */
 export class ManifestWriter {
   readonly #deps: ManifestWriterDeps;
 
@@ -34,11 +32,11 @@
   }
 
   /**
-   * Writes the manifest; false means another editor was first.
+   * Writes the manifest; false means that a concurrent edit won.
    *
-   * After a lost answer the same conditional write is sent again: it can take
-   * effect once at most, and its refusal shows that the manifest has changed,
-   * by us or by another, which reading back then tells apart.
+   * After a lost response the same conditional write is sent again: it takes
+   * effect at most once. A conflict means that the manifest has changed, by this
+   * write or another, which reading back the write id distinguishes.
    */
   async write(
     next: Manifest,
@@ -49,37 +47,37 @@
       : { ifVersion: version };
     const text = canonicalJson(next);
     let lost: Failure | undefined;
-    for (let i = 0; i < MAX_SETTLE_TRIES; i++) {
-      if (i > 0) await sleep(this.#deps.clock, SETTLE_PAUSE_MS);
+    for (let i = 0; i < MAX_ATTEMPTS; i++) {
+      if (i > 0) await sleep(this.#deps.clock, RETRY_DELAY_MS);
       const put = await this.#deps.platform.put(MANIFEST_KEY, text, condition);
       if (put.isOk()) return ok(true);
       const { code } = put.error;
-      if (code === "conflict") return await this.#settle(next, lost);
+      if (code === "conflict") return await this.#resolve(next, lost);
       if (code !== "platform_outcome_unknown") return err(lost ?? put.error);
       lost = put.error;
-      const now = await this.#deps.read();
-      if (now.isOk() && now.value.value.write_id === next.write_id) {
+      const read = await this.#deps.read();
+      if (read.isOk() && read.value.value.write_id === next.write_id) {
         return ok(true);
       }
     }
-    return err(lost ?? UNSETTLED);
+    return err(lost ?? OUTCOME_UNKNOWN);
   }
 
-  /** The write was refused: was an earlier try of it in force before? */
-  async #settle(
+  /** Determines after a conflict whether an earlier attempt took effect. */
+  async #resolve(
     written: Manifest,
     lost: Failure | undefined,
   ): Promise<Result<boolean, Failure>> {
     if (lost === undefined) return ok(false);
-    for (let i = 0; i < MAX_SETTLE_TRIES; i++) {
-      if (i > 0) await sleep(this.#deps.clock, SETTLE_PAUSE_MS);
-      const now = await this.#deps.read();
-      if (now.isErr() || now.value.value.generation < written.generation) {
+    for (let i = 0; i < MAX_ATTEMPTS; i++) {
+      if (i > 0) await sleep(this.#deps.clock, RETRY_DELAY_MS);
+      const read = await this.#deps.read();
+      if (read.isErr() || read.value.value.generation < written.generation) {
         continue;
       }
-      if (now.value.value.write_id === written.write_id) return ok(true);
-      if (now.value.value.generation === written.generation) return ok(false);
-      return err(UNSETTLED);
+      if (read.value.value.write_id === written.write_id) return ok(true);
+      if (read.value.value.generation === written.generation) return ok(false);
+      return err(OUTCOME_UNKNOWN);
     }
     return err(lost);
   }
--- a/src/document/mod.ts
+++ b/src/document/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The steering document: its schemas, its checks, and its place in the store.
+ * The steering document: schemas, validation, storage and edits.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 export * from "./document_store.ts";
 export * from "./drain_edit.ts";
 export * from "./key_edit.ts";
-export * from "./in_force.ts";
+export * from "./assemble_document.ts";
 export * from "./manifest.ts";
 export * from "./section_edit.ts";
 export * from "./sections.ts";
--- a/src/document/section_edit.ts
+++ b/src/document/section_edit.ts
@@ -1,6 +1,6 @@
 /**
- * Edits of a part of a section: read, change, write on the version read, and
- * begin anew when another editor was first.
+ * Read-modify-write edits of a section, with optimistic concurrency: conditional
+ * on the version read, and retried after a conflict.
  *
  * @module
  */
@@ -9,38 +9,42 @@
 import type { AcceptedDocument, DocumentStore } from "./document_store.ts";
 import type { SectionName } from "./sections.ts";
 
-/** A section that is to be changed, with its new value. */
+/** A section and its new value. */
 export interface SectionChange {
   readonly name: SectionName;
   readonly value: unknown;
 }
 
-const MAX_TRIES = 5;
+const MAX_ATTEMPTS = 5;
 
 /**
- * Changes a section by a function of the accepted document. Since the function
- * runs again on the winner's version, a lost race costs nothing but a turn.
+ * Changes a section by a function of the accepted document. After a conflict the
+ * function runs again on the winner's version, so a conflict costs
+ * only a retry.
  *
  * @example
  * ```ts
- * await editSection(store, "ops", (now) => addDrain(now, drain));
+ * await editSection(store, "ops", (current) => addDrain(current, drain));
  * ```
  */
 export async function editSection(
   store: DocumentStore,
   author: string,
-  change: (now: AcceptedDocument) => Result<SectionChange, Failure>,
+  change: (current: AcceptedDocument) => Result<SectionChange, Failure>,
 ): Promise<Result<AcceptedDocument, Failure>> {
-  let last: Result<AcceptedDocument, Failure> = fail("conflict", "no try");
-  for (let i = 0; i < MAX_TRIES; i++) {
+  let last: Result<AcceptedDocument, Failure> = fail(
+    "conflict",
+    "no attempt was made",
+  );
+  for (let i = 0; i < MAX_ATTEMPTS; i++) {
     const manifest = await store.manifest();
     if (manifest.isErr()) return err(manifest.error);
-    const now = await store.load(manifest.value.value);
-    if (now.isErr()) return err(now.error);
-    const next = change(now.value);
+    const current = await store.load(manifest.value.value);
+    if (current.isErr()) return err(current.error);
+    const next = change(current.value);
     if (next.isErr()) return err(next.error);
     const { name, value } = next.value;
-    const version = now.value.manifest.sections[name]?.version ?? 0;
+    const version = current.value.manifest.sections[name]?.version ?? 0;
     last = await store.apply({
       author,
       sections: new Map([[name, value]]),
--- a/src/document/section_memo_test.ts
+++ b/src/document/section_memo_test.ts
@@ -8,7 +8,7 @@
   return { sites: { riga: { zones: ["north-a"], blocks } } };
 }
 
-test("a section that did not change is the same object in the next document", (t) => {
+test("an unchanged section is the same object in the next document", (t) => {
   const { parse } = new SectionMemo();
   const raw = { regions: REGIONS, sites: sites(BLOCKS) };
   const before = parseDocument(raw, parse)._unsafeUnwrap();
@@ -17,7 +17,7 @@
   t.is(after.siteBlocks["sites"], before.siteBlocks["sites"]);
 });
 
-test("a section that changed or stands under another name is read again", (t) => {
+test("a changed or renamed section is parsed again", (t) => {
   const { parse } = new SectionMemo();
   const value = sites(BLOCKS);
   const first = parseDocument({ regions: REGIONS, "sites/a": value }, parse);
--- a/src/document/sections.ts
+++ b/src/document/sections.ts
@@ -1,9 +1,8 @@
 /**
- * The sections of the steering document, each a schema of its own and owned
- * by one team.
+ * Schemas of the steering document's sections, each owned by one team.
  *
- * A section is named by its kind, or by kind and a part, as in
- * `services/crewdesk`, so that several teams may keep parts of one kind.
+ * A section is named by its kind, or by kind and part as in
+ * `services/crewdesk`, so that several teams can own parts of one kind.
  *
  * @module
  */
@@ -27,11 +26,13 @@
 );
 const Milliseconds = z.number().int().positive().max(3_600_000);
 
-/** One key of a client account: its digest, never the key. */
+/** One key of a client account; only its digest is stored. */
 export const KeyEntry = strict({
-  id: KeyId.describe("Names the key; never given out again"),
+  id: KeyId.describe("Id of the key; never reused"),
   sha256: Sha256.describe("SHA-256 of the key"),
-  withdrawn: z.boolean().default(false).describe("No longer taken"),
+  withdrawn: z.boolean().default(false).describe(
+    "Whether the key is withdrawn and no longer accepted",
+  ),
 });
 export type KeyEntry = z.infer<typeof KeyEntry>;
 
@@ -40,32 +41,34 @@
   accounts: z.record(
     AccountId,
     strict({
-      name: z.string().max(200).optional().describe("For people"),
+      name: z.string().max(200).optional().describe(
+        "Display name; informational only",
+      ),
       keys: z.array(KeyEntry).max(50).default([]).describe(
         "Digests of the account's keys",
       ),
       weight: z.number().positive().max(100).default(1).describe(
-        "Part of a queue's turns under contention, against other accounts",
+        "Weight in the fair queue under contention, relative to other accounts",
       ),
       cut_off_grace_s: z.number().int().min(0).max(86_400).default(3_600)
         .describe(
-          "How long a zone cut off from the platform goes on taking this account's keys, in seconds: it cannot learn of a withdrawal",
+          "How long a zone that cannot reach the platform keeps accepting this account's keys, in seconds; it cannot see a withdrawal meanwhile",
         ),
     }),
   ),
 });
 export type AccountsSection = z.infer<typeof AccountsSection>;
 
-/** Rate and burst of each client account, over all instances together. */
+/** Rate limit of each client account, across all instances. */
 export const RatesSection = strict({
   rates: z.record(
     AccountId,
     strict({
       rate_per_s: z.number().positive().max(10_000_000).describe(
-        "Requests a second, over all instances together",
+        "Requests per second, across all instances",
       ),
       burst: z.number().positive().max(10_000_000).describe(
-        "Requests at once above the rate, over all instances together",
+        "Requests allowed at once above the rate, across all instances",
       ),
     }),
   ),
@@ -81,53 +84,53 @@
         ZoneId,
         strict({
           instances: z.number().int().min(1).max(1000).default(2).describe(
-            "Entry instances the zone is meant to have",
+            "Expected number of entry instances in the zone",
           ),
         }),
       ),
       headroom: z.number().min(0).max(1).default(0.2).describe(
-        "Part of the region's slots kept free from other regions' work",
+        "Fraction of the region's slots not used for other regions' requests",
       ),
     }),
   ).default({}),
   links: z.array(strict({
-    from: RegionId.describe("The region that sends"),
-    to: RegionId.describe("The region that receives"),
+    from: RegionId.describe("Source region"),
+    to: RegionId.describe("Destination region"),
     cap_mbit_per_s: z.number().positive().describe(
-      "What traffic may take of the link in this direction",
+      "Bandwidth that traffic may use in this direction, in Mbit/s",
     ),
     latency_ms: z.number().nonnegative().default(12).describe(
-      "One way, in milliseconds",
+      "One-way latency, in milliseconds",
     ),
-  })).default([]).describe("Links between regions, one for each direction"),
+  })).default([]).describe("Links between regions, one per direction"),
 });
 export type RegionsSection = z.infer<typeof RegionsSection>;
 
 /** One endpoint of a service. */
 export const EndpointEntry = strict({
-  zone: ZoneId.describe("The availability zone it stands in"),
-  url: z.url({ protocol: /^https?$/ }).describe("Where it is reached"),
+  zone: ZoneId.describe("Availability zone of the endpoint"),
+  url: z.url({ protocol: /^https?$/ }).describe("Base URL of the endpoint"),
   slots: z.number().int().min(1).max(10_000).describe(
-    "Requests it runs at once",
+    "Maximum concurrent requests",
   ),
   connections: z.number().int().min(1).max(100_000).describe(
-    "Connections it takes, over all instances together",
+    "Maximum connections, across all instances",
   ),
 });
 export type EndpointEntry = z.infer<typeof EndpointEntry>;
 
-/** What holds for requests whose method and path match. */
+/** Properties of requests whose method and path match. */
 export const RouteEntry = strict({
   method: z.enum(["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "*"])
-    .describe("The method, or any"),
+    .describe("HTTP method; `*` matches any"),
   path_prefix: z.string().startsWith("/").max(200).describe(
-    "What the path begins with",
+    "Prefix that the path must start with",
   ),
   idempotent: z.boolean().describe(
-    "Whether running such a request twice does no harm",
+    "Whether the request can safely run more than once",
   ),
   deadline_ms: Milliseconds.optional().describe(
-    "Instead of the service's, in milliseconds",
+    "Overrides the service's deadline, in milliseconds",
   ),
 });
 export type RouteEntry = z.infer<typeof RouteEntry>;
@@ -138,26 +141,26 @@
     ServiceId,
     strict({
       deadline_ms: Milliseconds.default(5_000).describe(
-        "How long a request may take, in milliseconds",
+        "Deadline of a request, in milliseconds",
       ),
       queue_limit: z.number().int().min(0).max(100_000).default(256).describe(
-        "Requests that may wait for a slot, per entry instance",
+        "Maximum requests queued for a slot, per entry instance",
       ),
       routes: z.array(RouteEntry).max(100).default([]).describe(
-        "First match counts; no match means the request is not idempotent",
+        "The first match applies; a request without a match is not idempotent",
       ),
       endpoints: z.record(EndpointId, EndpointEntry).default({}).describe(
-        "What runs the service's requests",
+        "Endpoints that run the service's requests, by id",
       ),
       objective: strict({
         availability: z.number().gt(0).lt(1).default(0.999).describe(
-          "Part of requests that are answered well",
+          "Target fraction of requests that succeed",
         ),
         latency_ms: Milliseconds.default(500).describe(
-          "An answer above this is slow, in milliseconds",
+          "Latency above which a response is slow, in milliseconds",
         ),
         latency_ratio: z.number().gt(0).lt(1).default(0.99).describe(
-          "Part of good answers that are not slow",
+          "Target fraction of successful responses that are not slow",
         ),
       }).prefault({}).describe("The service-level objective"),
     }),
@@ -165,28 +168,28 @@
 });
 export type ServicesSection = z.infer<typeof ServicesSection>;
 
-/** Where groups of clients are, and the zones that serve them best. */
+/** Groups of client addresses and their preferred zones. */
 export const SitesSection = strict({
   sites: z.record(
     SiteId,
     strict({
       zones: z.array(ZoneId).min(1).max(20).describe(
-        "Availability zones, the best one first",
+        "Availability zones in order of preference",
       ),
       blocks: z.array(
         z.string().max(50).refine(
           (text) => parseBlock(text) !== undefined,
-          "must be a block of addresses, such as 203.0.113.0/24 or 2001:db8::/32",
+          "must be a CIDR block such as 203.0.113.0/24 or 2001:db8::/32",
         ),
       ).max(100_000).default([]).describe(
-        "Client addresses in CIDR notation; the longest match counts",
+        "Client address blocks in CIDR notation; the longest prefix match applies",
       ),
     }),
   ),
 });
 export type SitesSection = z.infer<typeof SitesSection>;
 
-/** One thing that is to get no new work. */
+/** An endpoint, zone, region or instance that receives no new requests. */
 export const DrainEntry = z.discriminatedUnion("kind", [
   strict({ kind: z.literal("endpoint"), id: EndpointId }),
   strict({ kind: z.literal("zone"), id: ZoneId }),
@@ -198,19 +201,19 @@
 /** Planned drains. */
 export const DrainsSection = strict({
   drains: z.array(DrainEntry).max(10_000).default([]).describe(
-    "What is to get no new work",
+    "Endpoints, zones, regions and instances that receive no new requests",
   ),
 });
 export type DrainsSection = z.infer<typeof DrainsSection>;
 
-/** Who may edit which sections through the administration API. */
+/** Roles and the sections each may edit through the administration API. */
 export const AccessSection = strict({
   roles: z.record(
     z.string().max(64),
     strict({
       token_sha256: Sha256.describe("SHA-256 of the role's bearer token"),
       edits: z.array(z.string()).default([]).describe(
-        "Section names, or kinds, that this role edits; `*` means all",
+        "Section names or kinds that this role may edit; `*` means all",
       ),
     }),
   ),
@@ -231,17 +234,17 @@
 /** A kind of section. */
 export type SectionKind = keyof typeof SECTION_SCHEMAS;
 
-/** Every kind, in the order a reader wants them. */
+/** Every kind, in documentation order. */
 export const SECTION_KINDS = Object.keys(SECTION_SCHEMAS) as SectionKind[];
 
-/** Names a section: its kind, or kind and part. */
+/** A section's name: `kind` or `kind/part`. */
 export const SectionName = z.string().max(100).regex(
   /^(access|accounts|rates|regions|services|sites|drains)(\/[a-z0-9][a-z0-9._-]*)?$/,
-  `must be one of ${SECTION_KINDS.join(", ")}, or one of them and "/part"`,
+  `must be one of ${SECTION_KINDS.join(", ")}, optionally followed by "/part"`,
 ).brand<"SectionName">();
 export type SectionName = z.infer<typeof SectionName>;
 
-/** The kind a section's name stands for. */
+/** The kind in a section's name. */
 export function kindOf(name: SectionName): SectionKind {
   return name.split("/")[0] as SectionKind;
 }
--- a/src/document/site_blocks.ts
+++ b/src/document/site_blocks.ts
@@ -1,6 +1,6 @@
 /**
- * Packs the client blocks of a section. Kept as strings, 1.2 million blocks
- * would take more memory than control may use on a node.
+ * Packs the client address blocks of a section. As strings, 1.2 million blocks
+ * would exceed the memory allowed for the control plane on a node.
  *
  * @module
  */
@@ -14,18 +14,18 @@
 } from "../decisions/clients/mod.ts";
 import type { SectionName, SitesSection } from "./sections.ts";
 
-/** Where a site's callers are best served, the best zone first. */
+/** A site's zones, in order of preference. */
 export interface Site {
   readonly zones: readonly ZoneId[];
 }
 
-/** A `sites` section as the document holds it. */
+/** A `sites` section in its in-memory form. */
 export interface PackedSites extends Record<string, unknown> {
   readonly sites: Record<string, Site>;
   readonly siteBlocks: Record<string, SiteSection>;
 }
 
-/** Takes blocks out of a checked section into packed arrays. */
+/** Moves the blocks of a validated section into packed arrays. */
 export function packSites(
   name: SectionName,
   section: SitesSection,
