--- a/src/admin/access.ts
+++ b/src/admin/access.ts
@@ -6,7 +6,7 @@
 import { ok, type Result } from "neverthrow";
 import { fail, type Failure, sha256 } from "../core/mod.ts";
 import {
-  kindOf,
+  sectionKindOf,
   type SectionName,
   type SteeringDocument,
 } from "../document/mod.ts";
@@ -75,7 +75,7 @@
   if (granted) return ok(undefined);
   const owner = Object.entries(document.roles)
     .find(([, other]) => other.edits.includes(name));
-  if (owner === undefined && role.edits.includes(kindOf(name))) {
+  if (owner === undefined && role.edits.includes(sectionKindOf(name))) {
     return ok(undefined);
   }
   const note = owner === undefined ? "" : `; it belongs to ${owner[0]}`;
--- a/src/admin/routes.ts
+++ b/src/admin/routes.ts
@@ -10,9 +10,9 @@
 import {
   type AcceptedDocument,
   addDrain,
+  DEFAULT_DRAINS_SECTION,
   type DocumentStore,
   DrainEntry,
-  DRAINS,
   editSection,
   removeDrain,
   SectionName,
@@ -242,7 +242,9 @@
   const { kind, id } = req.params;
   const drain = DrainEntry.safeParse({ kind, id }, { reportInput: true });
   if (!drain.success) return err(fromZod("bad_request", drain.error));
-  const name = SectionName.safeParse(req.query["section"] ?? DRAINS);
+  const name = SectionName.safeParse(
+    req.query["section"] ?? DEFAULT_DRAINS_SECTION,
+  );
   if (!name.success) return err(fromZod("bad_request", name.error));
   const allowed = authorizeEdit(deps.document(), role, name.data);
   if (allowed.isErr()) return err(allowed.error);
--- a/src/cli/commands/drains.ts
+++ b/src/cli/commands/drains.ts
@@ -7,8 +7,8 @@
 import { type Failure, fromZod } from "../../core/mod.ts";
 import {
   addDrain,
+  DEFAULT_DRAINS_SECTION,
   DrainEntry,
-  DRAINS,
   editSection,
   removeDrain,
   type SectionName,
@@ -36,7 +36,7 @@
   return withPlatform(ctx, opts, async ({ store, author }) => {
     const drain = parseDrain(args);
     if (drain.isErr()) return err(drain.error);
-    const section = (args.section ?? DRAINS) as SectionName;
+    const section = (args.section ?? DEFAULT_DRAINS_SECTION) as SectionName;
     const edit = action === "add" ? addDrain : removeDrain;
     const edited = await editSection(
       store,
--- a/src/document/assemble_document.ts
+++ b/src/document/assemble_document.ts
@@ -17,7 +17,7 @@
 import { SectionName } from "./sections.ts";
 
 /** A manifest that may have sections and fields of a newer version. */
-export const AnyManifest = z.object({
+export const LenientManifest = z.object({
   generation: z.number().int().nonnegative(),
   write_id: z.string().max(100),
   sections: z.record(
@@ -25,12 +25,14 @@
     z.object(ManifestEntry.shape),
   ),
 });
-export type AnyManifest = z.infer<typeof AnyManifest>;
+export type LenientManifest = z.infer<typeof LenientManifest>;
 
 /** Parses a manifest's text, including one that a newer version wrote. */
-export function parseAnyManifest(text: string): Result<AnyManifest, Failure> {
+export function parseLenientManifest(
+  text: string,
+): Result<LenientManifest, Failure> {
   try {
-    const parsed = AnyManifest.safeParse(JSON.parse(text));
+    const parsed = LenientManifest.safeParse(JSON.parse(text));
     if (parsed.success) return ok(parsed.data);
     return err(fromZod("bad_document", parsed.error));
   } catch {
@@ -62,11 +64,11 @@
  * const assembled = assemble(manifest, contents, { before: new Map(), parse: parseSection });
  * ```
  */
-export function assemble(
-  manifest: AnyManifest,
+export function assembleDocument(
+  manifest: LenientManifest,
   contents: ReadonlyMap<string, SectionContent>,
-  { before, parse }: {
-    before: ReadonlyMap<string, SectionContent>;
+  { previous: before, parse }: {
+    previous: ReadonlyMap<string, SectionContent>;
     parse: SectionParser;
   },
 ): Result<AssembledDocument, Failure> {
--- a/src/document/content_store.ts
+++ b/src/document/content_store.ts
@@ -58,12 +58,12 @@
   }
 
   /** Text of a cached content. */
-  cached(digest: string): string | undefined {
+  cachedText(digest: string): string | undefined {
     return this.#cache.get(digest)?.text;
   }
 
   /** Caches content from another source, such as a peer; returns its digest. */
-  offer(text: string): string {
+  cacheText(text: string): string {
     const digest = sha256(text);
     this.#addToCache(digest, text);
     return digest;
--- a/src/document/document.ts
+++ b/src/document/document.ts
@@ -23,10 +23,10 @@
   type AccessSection,
   type AccountsSection,
   type DrainEntry,
-  kindOf,
   type RatesSection,
   type RegionsSection,
   SECTION_SCHEMAS,
+  sectionKindOf,
   SectionName,
   type ServicesSection,
   type SitesSection,
@@ -103,7 +103,7 @@
  * parseDocument(raw, sections.parse);
  * ```
  */
-export class SectionMemo {
+export class SectionCache {
   readonly #previous = new Map<string, ParsedSection>();
 
   /** Compares values by identity, so they must not be mutated. */
@@ -144,7 +144,7 @@
     );
   }
   const schema: z.ZodType<Record<string, unknown>> =
-    SECTION_SCHEMAS[kindOf(sectionName.data)];
+    SECTION_SCHEMAS[sectionKindOf(sectionName.data)];
   return checkValue("bad_section", schema, value)
     .map((section) => packSection(sectionName.data, section))
     .mapErr((found) => ({
@@ -159,7 +159,7 @@
   name: SectionName,
   section: Record<string, unknown>,
 ): Record<string, unknown> {
-  if (kindOf(name) !== "sites") return section;
+  if (sectionKindOf(name) !== "sites") return section;
   return packSites(name, section as SitesSection);
 }
 
--- a/src/document/drain_edit.ts
+++ b/src/document/drain_edit.ts
@@ -11,7 +11,7 @@
 import type { DrainEntry, DrainsSection, SectionName } from "./sections.ts";
 
 /** The section used unless another is given. */
-export const DRAINS: SectionName = "drains" as SectionName;
+export const DEFAULT_DRAINS_SECTION: SectionName = "drains" as SectionName;
 
 /**
  * Adds a drain; `not_found` if the document has no such endpoint, zone or
@@ -20,7 +20,7 @@
 export function addDrain(
   current: AcceptedDocument,
   drain: DrainEntry,
-  name: SectionName = DRAINS,
+  name: SectionName = DEFAULT_DRAINS_SECTION,
 ): Result<SectionChange, Failure> {
   const known = knownIds(current.document, drain.kind);
   if (known !== undefined && !known.includes(drain.id)) {
@@ -34,7 +34,7 @@
 export function removeDrain(
   current: AcceptedDocument,
   drain: DrainEntry,
-  name: SectionName = DRAINS,
+  name: SectionName = DEFAULT_DRAINS_SECTION,
 ): Result<SectionChange, Failure> {
   const drains = drainsOf(current, name);
   const remaining = drains.filter((d) => !isSameDrain(d, drain));
--- a/src/document/hostile_input_test.ts
+++ b/src/document/hostile_input_test.ts
@@ -14,8 +14,8 @@
 import {
   contentKey,
   ContentStore,
-  parseAnyManifest,
   parseDocument,
+  parseLenientManifest,
   parseManifest,
 } from "./mod.ts";
 
@@ -142,7 +142,7 @@
   const text = fc.oneof(fc.string(), fc.json(), arbitraryValue.map(toJson));
   fc.assert(
     fc.property(text, (value) => {
-      for (const parse of [parseManifest, parseAnyManifest]) {
+      for (const parse of [parseManifest, parseLenientManifest]) {
         const parsed = parse(value);
         if (parsed.isErr()) t.is(parsed.error.code, "bad_document");
       }
--- a/src/document/key_edit.ts
+++ b/src/document/key_edit.ts
@@ -7,7 +7,7 @@
 import { fail, type Failure, unknownName } from "../core/mod.ts";
 import type { AcceptedDocument } from "./document_store.ts";
 import type { SectionChange } from "./section_edit.ts";
-import { kindOf, type SectionName } from "./sections.ts";
+import { sectionKindOf, type SectionName } from "./sections.ts";
 
 /** An `accounts` section as stored, before defaults are applied. */
 interface RawAccounts {
@@ -53,7 +53,7 @@
   update: (keys: readonly RawKey[]) => Result<RawKey[], Failure>,
 ): Result<SectionChange, Failure> {
   for (const [name, raw] of Object.entries(current.raw)) {
-    if (kindOf(name as SectionName) !== "accounts") continue;
+    if (sectionKindOf(name as SectionName) !== "accounts") continue;
     const section = raw as RawAccounts;
     if (!Object.hasOwn(section.accounts, account)) continue;
     const entry = section.accounts[account];
--- a/src/document/section_memo_test.ts
+++ b/src/document/section_cache_test.ts
@@ -1,5 +1,5 @@
 import test from "ava";
-import { parseDocument, SectionMemo } from "./document.ts";
+import { parseDocument, SectionCache } from "./document.ts";
 
 const REGIONS = { regions: { north: { zones: { "north-a": {} } } } };
 const BLOCKS = ["203.0.113.0/24"];
@@ -9,7 +9,7 @@
 }
 
 test("an unchanged section is the same object in the next document", (t) => {
-  const { parse } = new SectionMemo();
+  const { parse } = new SectionCache();
   const raw = { regions: REGIONS, sites: sites(BLOCKS) };
   const before = parseDocument(raw, parse)._unsafeUnwrap();
   const drains = { drains: [] };
@@ -18,7 +18,7 @@
 });
 
 test("a changed or renamed section is parsed again", (t) => {
-  const { parse } = new SectionMemo();
+  const { parse } = new SectionCache();
   const value = sites(BLOCKS);
   const first = parseDocument({ regions: REGIONS, "sites/a": value }, parse);
   const moved = parseDocument({ regions: REGIONS, "sites/b": value }, parse);
--- a/src/document/sections.ts
+++ b/src/document/sections.ts
@@ -245,6 +245,6 @@
 export type SectionName = z.infer<typeof SectionName>;
 
 /** The kind in a section's name. */
-export function kindOf(name: SectionName): SectionKind {
+export function sectionKindOf(name: SectionName): SectionKind {
   return name.split("/")[0] as SectionKind;
 }
--- a/src/instance/document_follower.ts
+++ b/src/instance/document_follower.ts
@@ -18,10 +18,10 @@
 } from "../core/mod.ts";
 import {
   type AcceptedDocument,
-  assemble,
+  assembleDocument,
   type ContentStore,
+  SectionCache,
   type SectionContent,
-  SectionMemo,
 } from "../document/mod.ts";
 import {
   type FetchContentResponse,
@@ -64,7 +64,7 @@
   #rejectedGeneration = -1;
   #seen: string | undefined;
   #pollAt = 0;
-  readonly #sections = new SectionMemo();
+  readonly #sections = new SectionCache();
   #closed = false;
 
   constructor(deps: DocumentFollowerDeps) {
@@ -118,7 +118,7 @@
   }
 
   fetchContent(digest: string): FetchContentResponse {
-    const content = this.#deps.contents.cached(digest);
+    const content = this.#deps.contents.cachedText(digest);
     return create(FetchContentResponseSchema, {
       found: content !== undefined,
       content: content ?? "",
@@ -173,8 +173,8 @@
     if (contents === undefined) return false;
     const before = await this.#before(found);
     if (this.isKnown(generation)) return true;
-    const assembled = assemble(found.manifest, contents, {
-      before,
+    const assembled = assembleDocument(found.manifest, contents, {
+      previous: before,
       parse: this.#sections.parse,
     });
     if (assembled.isErr()) {
--- a/src/instance/document_source.ts
+++ b/src/instance/document_source.ts
@@ -7,10 +7,10 @@
 import { ok, type Result } from "neverthrow";
 import { type Clock, fail, type Failure } from "../core/mod.ts";
 import {
-  type AnyManifest,
   type ContentStore,
+  type LenientManifest,
   MANIFEST_KEY,
-  parseAnyManifest,
+  parseLenientManifest,
   type SectionContent,
 } from "../document/mod.ts";
 import type { DocumentTransport } from "../peers/mod.ts";
@@ -20,7 +20,7 @@
 /** A manifest as it was found. */
 export interface FoundManifest {
   readonly text: string;
-  readonly manifest: AnyManifest;
+  readonly manifest: LenientManifest;
   /** The store's version; none if a peer gave it. */
   readonly version: string | undefined;
   /** What the peer has in force of each section, by digest. */
@@ -93,7 +93,7 @@
     const answer = await this.#deps.transport.fetchManifest(peerUrl);
     return answer.andThen(({ manifest: text, inForce }) => {
       if (text === "") return ok(undefined);
-      return parseAnyManifest(text).map((manifest) => ({
+      return parseLenientManifest(text).map((manifest) => ({
         text,
         manifest,
         version: undefined,
@@ -109,11 +109,11 @@
     peerUrl: string | undefined,
   ): Promise<Result<SectionContent, Failure>> {
     const { contents, transport } = this.#deps;
-    if (peerUrl !== undefined && contents.cached(digest) === undefined) {
+    if (peerUrl !== undefined && contents.cachedText(digest) === undefined) {
       const answer = await transport.fetchContent(peerUrl, digest);
       // A content is named by its digest, so a wrong one is simply not found.
       if (answer.isOk() && answer.value.found) {
-        contents.offer(answer.value.content);
+        contents.cacheText(answer.value.content);
       }
     }
     const value = await contents.get(digest);
@@ -126,7 +126,7 @@
 ): Result<FoundManifest | undefined, Failure> {
   if (read === undefined) return ok(undefined);
   const { value: text, version } = read;
-  return parseAnyManifest(text).map((manifest) => ({
+  return parseLenientManifest(text).map((manifest) => ({
     text,
     manifest,
     version,
