--- a/src/admin/routes.ts
+++ b/src/admin/routes.ts
@@ -57,7 +57,7 @@
   readonly access: "none" | "any" | "owner";
   readonly query?: Readonly<Record<string, string>>;
   /** What status 503 means, for a route that requires no token. */
-  readonly otherwise?: string;
+  readonly unavailableDescription?: string;
   /** Whether the request body is a section's content. */
   readonly section?: boolean;
   readonly handle: (
@@ -80,7 +80,8 @@
     path: "/readyz",
     id: "readiness",
     summary: "Whether a document is in force here and the instance stays",
-    otherwise: "No document is in force yet, or the instance is leaving",
+    unavailableDescription:
+      "No document is in force yet, or the instance is leaving",
     access: "none",
     handle: (deps) => {
       const ready = deps.ready();
--- a/tools/reference/open_api.ts
+++ b/tools/reference/open_api.ts
@@ -95,9 +95,9 @@
     ...(route.section ? { requestBody: sectionBody() } : {}),
     responses: {
       "200": { description: "Done" },
-      ...(route.otherwise === undefined
+      ...(route.unavailableDescription === undefined
         ? {}
-        : { "503": { description: route.otherwise } }),
+        : { "503": { description: route.unavailableDescription } }),
       ...Object.fromEntries(refused.map((status) => [status, refusal(status)])),
     },
   };
