--- a/src/document/assemble_document.ts
+++ b/src/document/assemble_document.ts
@@ -57,17 +57,18 @@
 
 /**
  * Assembles a document from a manifest. A section that cannot be used falls back
- * to its content in `before`. Fails if the result is inconsistent.
+ * to its content in `previous`. Fails if the result is inconsistent.
  *
  * @example
  * ```ts
- * const assembled = assemble(manifest, contents, { before: new Map(), parse: parseSection });
+ * const options = { previous: new Map(), parse: parseSection };
+ * const assembled = assembleDocument(manifest, contents, options);
  * ```
  */
 export function assembleDocument(
   manifest: LenientManifest,
   contents: ReadonlyMap<string, SectionContent>,
-  { previous: before, parse }: {
+  { previous, parse }: {
     previous: ReadonlyMap<string, SectionContent>;
     parse: SectionParser;
   },
@@ -81,7 +82,7 @@
     if (candidate.isErr()) rejected.push(candidate.error);
     const content = candidate.isOk()
       ? candidate.value
-      : usableContent(name, before.get(name), parse).unwrapOr(undefined);
+      : usableContent(name, previous.get(name), parse).unwrapOr(undefined);
     if (content === undefined) continue;
     raw[name] = content.value;
     sections[name] = entry;
--- a/src/document/document.ts
+++ b/src/document/document.ts
@@ -99,7 +99,7 @@
  *
  * @example
  * ```ts
- * const sections = new SectionMemo();
+ * const sections = new SectionCache();
  * parseDocument(raw, sections.parse);
  * ```
  */
