--- a/src/operations/codec.ts
+++ b/src/operations/codec.ts
@@ -1,5 +1,5 @@
 /**
- * Between the ledger's types and the messages that carry them.
+ * Converts between the ledger's types and their wire messages.
  *
  * @module
  */
@@ -27,13 +27,13 @@
   IntentEntry,
   LedgerRecord,
   OperationName,
-  PlaceDecision,
   RecordState,
   SeatEpoch,
+  SettleDecision,
 } from "./ledger.ts";
 import type { RecordedAnswer, RunResult } from "./operations.ts";
 
-const TO_WIRE: Readonly<Record<RecordState, WireState>> = {
+const STATE_TO_WIRE: Readonly<Record<RecordState, WireState>> = {
   none: WireState.NONE,
   intent: WireState.INTENT,
   answered: WireState.ANSWERED,
@@ -41,11 +41,13 @@
   unknown: WireState.UNKNOWN,
 };
 
-const FROM_WIRE = new Map<WireState, RecordState>(
-  Object.entries(TO_WIRE).map(([state, wire]) => [wire, state as RecordState]),
+const STATE_FROM_WIRE = new Map<WireState, RecordState>(
+  Object.entries(STATE_TO_WIRE).map((
+    [state, wire],
+  ) => [wire, state as RecordState]),
 );
 
-/** An intent as an entry. */
+/** Encodes an intent as an entry. */
 export function intentEntry(intent: IntentEntry): LedgerEntry {
   const { seat, ...rest } = intent;
   return create(LedgerEntrySchema, {
@@ -55,7 +57,7 @@
   });
 }
 
-/** What a run ended with, as an entry. */
+/** Encodes the conclusion of a run as an entry. */
 export function conclusionEntry(
   name: OperationName,
   run: string,
@@ -66,14 +68,14 @@
     kind: refused ? EntryKind.REFUSED : EntryKind.ANSWER,
     name,
     run,
-    state: TO_WIRE[conclusion.state],
+    state: STATE_TO_WIRE[conclusion.state],
     ...(conclusion.state === "answered" && conclusion.answer
       ? { answer: answerToWire(conclusion.answer) }
       : {}),
   });
 }
 
-/** A question that shuts out later intents, as an entry. */
+/** Encodes a query that rejects later intents, as an entry. */
 export function fenceEntry(
   name: OperationName,
   { seat, issuedMs }: { seat?: SeatEpoch; issuedMs?: number },
@@ -86,7 +88,7 @@
   });
 }
 
-/** A leaver's record, as an entry. */
+/** Encodes a record of a leaving instance as an entry. */
 export function copyEntry(record: LedgerRecord): LedgerEntry {
   const { name, fingerprint, run, owner, seat, state, answer } = record;
   return create(LedgerEntrySchema, {
@@ -95,18 +97,17 @@
     fingerprint,
     run,
     owner,
-    state: TO_WIRE[state],
+    state: STATE_TO_WIRE[state],
     ...(seat ? { seat: seatToWire(seat) } : {}),
     ...(answer ? { answer: answerToWire(answer) } : {}),
   });
 }
 
-/** Reads a state; what a newer program may say is taken as unknown. */
+/** Decodes a state; a state added by a newer version is read as unknown. */
 export function stateFromWire(state: WireState): RecordState {
-  return FROM_WIRE.get(state) ?? "unknown";
+  return STATE_FROM_WIRE.get(state) ?? "unknown";
 }
 
-/** Reads a name. */
 export function nameFromWire(
   name: OperationNameMessage | undefined,
 ): OperationName {
@@ -117,7 +118,6 @@
   };
 }
 
-/** Reads a seat. */
 export function seatFromWire(
   seat: SeatEpochMessage | undefined,
 ): SeatEpoch | undefined {
@@ -126,7 +126,6 @@
   return { zone, index, epoch: Number(epoch) };
 }
 
-/** Reads an answer. */
 export function answerFromWire(
   answer: RecordedAnswerMessage | undefined,
 ): RecordedAnswer | undefined {
@@ -135,19 +134,19 @@
   return { status, headers, body };
 }
 
-/** What a place says, as a message. */
-export function resultToWire(decision: PlaceDecision): LedgerResult {
+/** Encodes a replica's decision. */
+export function decisionToWire(decision: SettleDecision): LedgerResult {
   const { accepted, state, fingerprint, answer } = decision;
   return create(LedgerResultSchema, {
     accepted,
-    state: TO_WIRE[state],
+    state: STATE_TO_WIRE[state],
     fingerprint,
     ...(answer ? { answer: answerToWire(answer) } : {}),
   });
 }
 
-/** Reads what a place says. */
-export function resultFromWire(result: LedgerResult): PlaceDecision {
+/** Decodes a replica's decision. */
+export function decisionFromWire(result: LedgerResult): SettleDecision {
   return {
     accepted: result.accepted,
     state: stateFromWire(result.state),
@@ -156,7 +155,7 @@
   };
 }
 
-/** How a forwarded run ended, as a message. */
+/** Encodes the result of a forwarded run. */
 export function runResultToWire(result: RunResult): ForwardResponse {
   if (result.isOk()) {
     return create(ForwardResponseSchema, {
@@ -173,7 +172,7 @@
   return create(ForwardResponseSchema, { failure });
 }
 
-/** Reads how a forwarded run ended. */
+/** Decodes the result of a forwarded run. */
 export function runResultFromWire(res: ForwardResponse): RunResult {
   const answer = answerFromWire(res.answer);
   return answer ? ok(answer) : err(failureFromWire(res.failure));
--- a/src/operations/handover.ts
+++ b/src/operations/handover.ts
@@ -1,39 +1,39 @@
 /**
- * Gives a leaver's records to a peer, so that retries of its operations find
- * them after it is gone.
+ * Hands the records of a leaving instance to a peer, so that retries of its
+ * operations find them after it has stopped.
  *
  * @module
  */
 import { copyEntry } from "./codec.ts";
-import type { Place } from "./home_token.ts";
+import type { Replica } from "./home_token.ts";
 import type { Ledger } from "./ledger.ts";
-import type { KnownPlace, PlaceTable, Vicinity } from "./places.ts";
+import type { Locality, PeerReplica, ReplicaTable } from "./replica_table.ts";
 import type { SettleQueue } from "./settle_queue.ts";
 
-/** What a handover needs. */
+/** Dependencies of a handover. */
 export interface HandoverDeps {
-  readonly self: Place & Vicinity;
+  readonly self: Replica & Locality;
   readonly ledger: Ledger;
-  readonly places: PlaceTable;
+  readonly replicas: ReplicaTable;
   readonly queue: SettleQueue;
 }
 
-const MAX_HEIRS_TRIED = 3;
-/** Records that are under way at a time; the queue batches them. */
-const WINDOW = 512;
+const MAX_SUCCESSORS_TRIED = 3;
+/** Records sent before waiting for their results; the queue batches them. */
+const MAX_RECORDS_IN_FLIGHT = 512;
 
 /**
- * Copies every record to one peer; undefined if none took them all. A peer
- * that took a part is not named as heir, since "no record" of it would be
- * taken for "not run".
+ * Copies all records to one peer; undefined if no peer accepted all of them. A
+ * peer with only part of them is not named as successor, since a missing record
+ * would be read as "not run".
  */
 export async function handOver(
   deps: HandoverDeps,
-): Promise<Place | undefined> {
-  const candidates = deps.places.candidates(deps.self);
-  for (const place of candidates.slice(0, MAX_HEIRS_TRIED)) {
-    if (await copyAll(deps, place)) {
-      return { instance: place.instance, incarnation: place.incarnation };
+): Promise<Replica | undefined> {
+  const candidates = deps.replicas.candidates(deps.self);
+  for (const replica of candidates.slice(0, MAX_SUCCESSORS_TRIED)) {
+    if (await copyAll(deps, replica)) {
+      return { instance: replica.instance, incarnation: replica.incarnation };
     }
   }
   return undefined;
@@ -41,13 +41,13 @@
 
 async function copyAll(
   { ledger, queue }: HandoverDeps,
-  place: KnownPlace,
+  replica: PeerReplica,
 ): Promise<boolean> {
   const records = [...ledger.records()];
-  for (let i = 0; i < records.length; i += WINDOW) {
-    const part = records.slice(i, i + WINDOW);
+  for (let i = 0; i < records.length; i += MAX_RECORDS_IN_FLIGHT) {
+    const chunk = records.slice(i, i + MAX_RECORDS_IN_FLIGHT);
     const sent = await Promise.all(
-      part.map((record) => queue.send(place, copyEntry(record))),
+      chunk.map((record) => queue.send(replica, copyEntry(record))),
     );
     if (!sent.every((s) => s.isOk() && s.value.result.accepted)) return false;
   }
--- a/src/operations/home_operations.ts
+++ b/src/operations/home_operations.ts
@@ -1,6 +1,6 @@
 /**
- * Operations over the whole fleet: each goes to its home, and where the home
- * is out of reach its second place answers.
+ * At-most-once operations across the fleet: each is routed to its home, and its
+ * backup replica answers if the home is unreachable.
  *
  * @module
  */
@@ -24,14 +24,14 @@
 } from "../peers/mod.ts";
 import type { Platform } from "../store/mod.ts";
 import { runResultToWire } from "./codec.ts";
-import { Forwarder, requestFromWire } from "./forwarder.ts";
+import { OperationForwarder, requestFromWire } from "./operation_forwarder.ts";
 import { handOver } from "./handover.ts";
 import type { ZoneSeats } from "./home_seat.ts";
 import {
-  parseHome,
+  parseHomeToken,
   type PeerCredential,
-  type Place,
   publicIncarnation,
+  type Replica,
 } from "./home_token.ts";
 import { DEFAULT_LEDGER_LIMITS, Ledger, type LedgerLimits } from "./ledger.ts";
 import type {
@@ -41,22 +41,22 @@
   RunResult,
 } from "./operations.ts";
 import { OwnedOperations } from "./owned_operations.ts";
-import { PlaceTable, type Vicinity } from "./places.ts";
+import { type Locality, ReplicaTable } from "./replica_table.ts";
 import { RefusedAttempts } from "./refused_attempts.ts";
-import { RegionHistory } from "./region_history.ts";
-import { SeatHomes } from "./seat_homes.ts";
+import { DepartureHistory } from "./departure_history.ts";
+import { SeatHomeRouter } from "./seat_home_router.ts";
 import { SeatRecovery } from "./seat_recovery.ts";
-import { SeatSets } from "./seat_sets.ts";
-import { FleetSecondPlaces, PeerSecondPlaces } from "./second_places.ts";
-import { SecondSide } from "./second_side.ts";
+import { SeatSetHistory } from "./seat_set_history.ts";
+import { FallbackBackupWriter, PeerBackupWriter } from "./backup_writer.ts";
+import { SettleHandler } from "./settle_handler.ts";
 import { SettleQueue } from "./settle_queue.ts";
-import { StorePlace } from "./store_place.ts";
-import { TokenHomes } from "./token_homes.ts";
+import { StoreBackup } from "./store_backup.ts";
+import { TokenHomeRouter } from "./token_home_router.ts";
 
-/** What operations over the fleet need. */
+/** Dependencies of fleet-wide operations. */
 export interface HomeOperationsDeps {
-  /** Its incarnation is the one that batches give. */
-  readonly self: PeerCredential & Vicinity;
+  /** The incarnation is the one sent in gossip batches. */
+  readonly self: PeerCredential & Locality;
   readonly clock: Clock;
   readonly random: Random;
   readonly metrics: Metrics;
@@ -70,23 +70,23 @@
 
 const SWEEP_EVERY_MS = 1_000;
 
-/** Runs operations at their homes. */
+/** Routes operations to their homes and runs those of this instance. */
 export class HomeOperations
   implements Operations, PeerSubsystem, LedgerHandler {
   readonly #deps: HomeOperationsDeps;
-  readonly #self: Place & Vicinity;
+  readonly #self: Replica & Locality;
   readonly #ledger: Ledger;
-  readonly #places: PlaceTable;
-  readonly #history: RegionHistory;
+  readonly #replicas: ReplicaTable;
+  readonly #history: DepartureHistory;
   readonly #queue: SettleQueue;
-  readonly #store: StorePlace;
+  readonly #store: StoreBackup;
   readonly #owned: OwnedOperations;
-  readonly #secondSide: SecondSide;
-  readonly #tokens: TokenHomes;
-  readonly #seatSets: SeatSets;
-  readonly #seats: SeatHomes;
+  readonly #settleHandler: SettleHandler;
+  readonly #tokens: TokenHomeRouter;
+  readonly #seatSets: SeatSetHistory;
+  readonly #seats: SeatHomeRouter;
   readonly #recovery: SeatRecovery;
-  readonly #forwarder: Forwarder;
+  readonly #forwarder: OperationForwarder;
   readonly #refusedAttempts = new RefusedAttempts();
   #sweptAt = 0;
 
@@ -102,72 +102,77 @@
     this.#deps = deps;
     this.#self = self;
     this.#ledger = new Ledger(deps.limits);
-    this.#places = new PlaceTable(clock);
+    this.#replicas = new ReplicaTable(clock);
     this.#queue = new SettleQueue(transport, credential);
-    this.#history = new RegionHistory({ self, clock, retentionMs });
-    this.#store = new StorePlace({ ...deps, self, retentionMs });
-    this.#forwarder = new Forwarder({ ...deps, credential });
-    const parts = {
+    this.#history = new DepartureHistory({ self, clock, retentionMs });
+    this.#store = new StoreBackup({ ...deps, self, retentionMs });
+    this.#forwarder = new OperationForwarder({ ...deps, credential });
+    const shared = {
       ...deps,
       self,
       ledger: this.#ledger,
-      places: this.#places,
+      replicas: this.#replicas,
       queue: this.#queue,
       history: this.#history,
       store: this.#store,
       forwarder: this.#forwarder,
     };
-    const seconds = new FleetSecondPlaces(
-      new PeerSecondPlaces(parts),
+    const seconds = new FallbackBackupWriter(
+      new PeerBackupWriter(shared),
       this.#store,
     );
-    this.#owned = new OwnedOperations({ ...parts, seconds });
-    this.#secondSide = new SecondSide(parts);
-    this.#recovery = new SeatRecovery(parts);
+    this.#owned = new OwnedOperations({ ...shared, seconds });
+    this.#settleHandler = new SettleHandler(shared);
+    this.#recovery = new SeatRecovery(shared);
     const owned = this.#owned;
-    const secondSide = this.#secondSide;
-    this.#tokens = new TokenHomes({ ...parts, owned, secondSide, seconds });
+    const settleHandler = this.#settleHandler;
+    this.#tokens = new TokenHomeRouter({
+      ...shared,
+      owned,
+      settleHandler,
+      seconds,
+    });
     const recovery = this.#recovery;
-    this.#seatSets = new SeatSets({ ...deps, retentionMs });
+    this.#seatSets = new SeatSetHistory({ ...deps, retentionMs });
     const seatSets = this.#seatSets;
-    this.#seats = new SeatHomes({ ...parts, owned, recovery, seatSets });
+    this.#seats = new SeatHomeRouter({ ...shared, owned, recovery, seatSets });
   }
 
-  /** Operations begun here that have not ended. */
+  /** The number of operations started here that have not ended. */
   get running(): number {
     return this.#owned.running;
   }
 
   run(req: OperationRequest): Promise<RunResult> {
     if (req.generated) {
-      return this.#forwarder.patiently(req, this.#deps.runner.run(req));
+      return this.#forwarder.withCallerTimeout(req, this.#deps.runner.run(req));
     }
     if (req.home === undefined) return this.#seats.run(req);
-    const home = parseHome(req.home);
+    const home = parseHomeToken(req.home);
     if (home.isErr()) return Promise.resolve(err(home.error));
     return this.#tokens.run(req, home.value);
   }
 
-  /** Takes over the zones of a newly accepted document. */
+  /** Applies the zones of a newly accepted document. */
   adopt(zones: readonly ZoneSeats[]): void {
     this.#seatSets.adopt(zones);
   }
 
-  /** The token that look-ups hand out for an instance; undefined if none. */
+  /** The home token that lookups return for an instance; undefined if none. */
   homeOf(instance: string): string | undefined {
-    if (instance === this.#deps.self.instance) return this.#tokens.ownHome();
-    const place = this.#places.named(instance);
-    if (place === undefined || !this.#places.usable(place)) return undefined;
-    return place.home || undefined;
+    if (instance === this.#deps.self.instance) return this.#tokens.ownToken();
+    const peer = this.#replicas.byInstance(instance);
+    if (peer === undefined || !this.#replicas.usable(peer)) return undefined;
+    return peer.home || undefined;
   }
 
-  /** Forgets what is over its time; to be run each tick. */
+  /** Removes expired state; to be called on each tick. */
   sweep(now: number): void {
     if (now - this.#sweptAt < SWEEP_EVERY_MS) return;
     this.#sweptAt = now;
     this.#recovery.sweep(now);
     this.#ledger.expire(now);
-    this.#places.sweep(now);
+    this.#replicas.sweep(now);
     this.#history.sweep(now);
     this.#store.sweep(now);
     this.#queue.sweep();
@@ -177,51 +182,51 @@
   }
 
   /**
-   * Takes no new operation, lets the running ones end and gives all records to
-   * a peer. Whether one took them; the batches that follow name it.
+   * Rejects new operations, waits for the running ones and copies all records
+   * to a peer. Returns whether one accepted them; later batches name it.
    */
   async handOver(): Promise<boolean> {
     this.#ledger.close();
     await this.#owned.settled();
-    const heir = await handOver({
+    const peer = await handOver({
       self: this.#self,
       ledger: this.#ledger,
-      places: this.#places,
+      replicas: this.#replicas,
       queue: this.#queue,
     });
-    if (heir) this.#history.inherited(this.#self.incarnation, heir);
-    this.#deps.log.event("operations_handed_over", { heir: heir?.instance });
-    return heir !== undefined;
+    if (peer) this.#history.setSuccessor(this.#self.incarnation, peer);
+    this.#deps.log.event("operations_handed_over", { heir: peer?.instance });
+    return peer !== undefined;
   }
 
   fill(batch: Batch, to: string): void {
     batch.ledger = create(LedgerPartSchema, {
-      home: this.#tokens.ownHome() ?? "",
+      home: this.#tokens.ownToken() ?? "",
       clockMs: this.#deps.clock.now(),
     });
     this.#history.fill(batch.ledger, to);
   }
 
   absorb(batch: Batch, from: Sender): void {
-    this.#places.absorb(batch, from);
+    this.#replicas.recordSender(batch, from);
     if (from.region !== this.#deps.self.region) return;
-    const place = this.#places.named(from.instance);
-    if (place === undefined) return;
-    this.#history.heard(place.instance, place.incarnation);
-    if (batch.ledger) this.#history.absorb(batch.ledger, place.incarnation);
+    const replica = this.#replicas.byInstance(from.instance);
+    if (replica === undefined) return;
+    this.#history.heard(replica.instance, replica.incarnation);
+    if (batch.ledger) this.#history.merge(batch.ledger, replica.incarnation);
   }
 
   settle(req: SettleRequest): SettleResponse {
-    return this.#secondSide.settle(req);
+    return this.#settleHandler.settle(req);
   }
 
   /**
-   * Runs an operation that another instance received. A stranger's is not run:
-   * the account in it is taken at its word.
+   * Runs an operation that another instance received. A sender that is not a
+   * known peer is rejected, since the account in the message is trusted.
    */
   async forward(msg: ForwardRequest): Promise<ForwardResponse> {
     const { incarnation } = this.#self;
-    if (!this.#places.recognises(msg.from)) return gone();
+    if (!this.#replicas.authenticates(msg.from)) return gone();
     if (msg.incarnation !== "" && msg.incarnation !== incarnation) {
       return gone();
     }
@@ -236,10 +241,10 @@
     return answer;
   }
 
-  /** Runs what is this instance's to run; undefined if it is not. */
+  /** Runs the operation if its home is here; else returns undefined. */
   #own(req: OperationRequest): Promise<RunResult> | undefined {
     if (req.home === undefined) return this.#seats.own(req);
-    const home = parseHome(req.home);
+    const home = parseHomeToken(req.home);
     if (home.isErr()) return Promise.resolve(err(home.error));
     return this.#tokens.own(req, home.value);
   }
--- a/src/operations/home_operations_test.ts
+++ b/src/operations/home_operations_test.ts
@@ -6,17 +6,17 @@
   ForwardRequestSchema,
   SettleRequestSchema,
 } from "../gen/ledger_pb.ts";
-import { TOKEN_LIFE_MS } from "./home_token.ts";
+import { TOKEN_TTL_MS } from "./home_token.ts";
 import { DEFAULT_LEDGER_LIMITS } from "./ledger.ts";
 import {
   answerOf,
   FakeFleet,
   type FakeMessage,
-  told,
+  resultText,
 } from "./testing/fake_fleet.ts";
 
 const OWNER = "r1-a-1";
-const MATE = "r1-a-2";
+const ZONE_PEER = "r1-a-2";
 
 interface Setup {
   readonly fleet: FakeFleet;
@@ -25,18 +25,18 @@
   readonly elsewhere: string;
 }
 
-/** A fleet of two zones that knows each other, and a home at its first node. */
+/** A two-zone fleet after gossip, and a home token for its first node. */
 async function makeSetup(): Promise<Setup> {
   const fleet = new FakeFleet();
-  await fleet.pass(300);
-  const home = fleet.node(MATE).operations.homeOf(OWNER) ?? "";
+  await fleet.advance(300);
+  const home = fleet.node(ZONE_PEER).operations.homeOf(OWNER) ?? "";
   const second = home.split("~")[2] ?? "";
   const elsewhere = second === "r1-b-1" ? "r1-b-2" : "r1-b-1";
   return { fleet, home, second, elsewhere };
 }
 
-/** Does something when a message of that kind passes, once. */
-function when(
+/** Runs `act` once, at the first message that matches. */
+function onceOnMessage(
   fleet: FakeFleet,
   matches: (msg: FakeMessage) => boolean,
   act: () => void,
@@ -62,26 +62,26 @@
 }
 
 /**
- * The owner's process dies at some point of a purchase confirmation, and the
- * caller, which never got an answer, repeats it at another instance. A
- * confirmation that ran twice charges an importer's deposit twice; one that
- * is said not to have run, though it did, is sent again by hand.
+ * The owner crashes at some point of a purchase confirmation, and the caller,
+ * which received no answer, retries at another instance. A confirmation that
+ * runs twice charges an importer's deposit twice; one falsely reported as not
+ * run is sent again by hand.
  */
 const OWNER_DIES: {
   at: string;
-  arm: (s: Setup) => void;
+  inject: (s: Setup) => void;
   retry: string;
   runs: number;
 }[] = [
   {
-    at: "before the request came",
-    arm: ({ fleet }) => fleet.kill(OWNER),
+    at: "before the request arrived",
+    inject: ({ fleet }) => fleet.kill(OWNER),
     retry: "not-run",
     runs: 0,
   },
   {
     at: "before its intent was recorded",
-    arm: ({ fleet }) => {
+    inject: ({ fleet }) => {
       fleet.onMessage = (msg) => {
         if (!isIntent("request")(msg)) return "deliver";
         fleet.kill(OWNER);
@@ -93,14 +93,14 @@
   },
   {
     at: "after its intent was recorded, before dispatch",
-    arm: ({ fleet }) =>
-      when(fleet, isIntent("answer"), () => fleet.kill(OWNER)),
+    inject: ({ fleet }) =>
+      onceOnMessage(fleet, isIntent("answer"), () => fleet.kill(OWNER)),
     retry: "unknown",
     runs: 0,
   },
   {
     at: "after dispatch",
-    arm: ({ fleet }) => {
+    inject: ({ fleet }) => {
       fleet.onDispatch = (d) => {
         fleet.kill(OWNER);
         return Promise.resolve(answerOf(d.attempt));
@@ -111,7 +111,7 @@
   },
   {
     at: "after the answer, before it was recorded",
-    arm: ({ fleet }) => {
+    inject: ({ fleet }) => {
       fleet.onMessage = (msg) => {
         if (!isAnswer("request")(msg)) return "deliver";
         fleet.kill(OWNER);
@@ -123,25 +123,25 @@
   },
   {
     at: "after the answer was recorded",
-    arm: ({ fleet }) =>
-      when(fleet, isAnswer("answer"), () => fleet.kill(OWNER)),
+    inject: ({ fleet }) =>
+      onceOnMessage(fleet, isAnswer("answer"), () => fleet.kill(OWNER)),
     retry: "done by 0",
     runs: 1,
   },
 ];
 
-for (const { at, arm, retry, runs } of OWNER_DIES) {
-  for (const where of [MATE, "second", "elsewhere"] as const) {
-    test(`owner dies ${at}; retry at ${where}`, async (t) => {
+for (const { at, inject, retry, runs } of OWNER_DIES) {
+  for (const where of [ZONE_PEER, "second", "elsewhere"] as const) {
+    test(`owner crashes ${at}; retry at ${where}`, async (t) => {
       const setup = await makeSetup();
       const { fleet, home } = setup;
-      arm(setup);
+      inject(setup);
       fleet.send(OWNER, { id: "op", home });
-      await fleet.pass(500);
-      const node = where === MATE ? MATE : setup[where];
-      const second = fleet.send(node, { id: "op", home });
-      await fleet.pass(2_500);
-      t.is(told(second), retry);
+      await fleet.advance(500);
+      const node = where === ZONE_PEER ? ZONE_PEER : setup[where];
+      const again = fleet.send(node, { id: "op", home });
+      await fleet.advance(2_500);
+      t.is(resultText(again), retry);
       t.is(fleet.dispatches.length, runs);
       t.deepEqual(fleet.violations(), []);
     });
@@ -149,35 +149,35 @@
 }
 
 /**
- * The second place, or the way to it, fails while a hold is placed; then the
- * owner may die as well. The caller repeats the hold at another zone. A brewer
- * whose lot is held twice turns other buyers away.
+ * The backup, or the link to it, fails while a hold is placed; then the owner
+ * may crash too. The caller retries the hold in another zone. A brewer whose
+ * lot is held twice turns other buyers away.
  */
 const SECOND_FAILS: {
   what: string;
-  arm: (s: Setup) => void;
+  inject: (s: Setup) => void;
   first: string;
   retry: string;
   runs: number;
 }[] = [
   {
-    what: "second place dead before the request",
-    arm: ({ fleet, second }) => fleet.kill(second),
+    what: "backup down before the request",
+    inject: ({ fleet, second }) => fleet.kill(second),
     first: "not-run",
     retry: "not-run",
     runs: 0,
   },
   {
-    what: "second place dies as its receipt leaves",
-    arm: ({ fleet, second }) =>
-      when(fleet, isIntent("answer"), () => fleet.kill(second)),
+    what: "backup crashes as it sends its receipt",
+    inject: ({ fleet, second }) =>
+      onceOnMessage(fleet, isIntent("answer"), () => fleet.kill(second)),
     first: "done by 0",
     retry: "done by 0",
     runs: 1,
   },
   {
-    what: "second place dies while the operation runs",
-    arm: ({ fleet, second }) => {
+    what: "backup crashes while the operation runs",
+    inject: ({ fleet, second }) => {
       fleet.onDispatch = (d) => {
         fleet.kill(second);
         return Promise.resolve(answerOf(d.attempt));
@@ -188,8 +188,8 @@
     runs: 1,
   },
   {
-    what: "second place dies while it runs, then the owner",
-    arm: ({ fleet, second }) => {
+    what: "backup crashes while it runs, then the owner",
+    inject: ({ fleet, second }) => {
       fleet.onDispatch = (d) => {
         fleet.kill(second);
         fleet.kill(OWNER);
@@ -201,8 +201,8 @@
     runs: 1,
   },
   {
-    what: "intent lost on its way",
-    arm: ({ fleet }) => {
+    what: "intent lost in transit",
+    inject: ({ fleet }) => {
       fleet.onMessage = (m) => isIntent("request")(m) ? "lose" : "deliver";
     },
     first: "not-run",
@@ -211,7 +211,7 @@
   },
   {
     what: "the intent's receipt lost",
-    arm: ({ fleet }) => {
+    inject: ({ fleet }) => {
       fleet.onMessage = (m) => isIntent("answer")(m) ? "lose" : "deliver";
     },
     first: "not-run",
@@ -220,7 +220,7 @@
   },
   {
     what: "intent late, after the owner gave up on it",
-    arm: ({ fleet }) => {
+    inject: ({ fleet }) => {
       fleet.onMessage = (m) => isIntent("request")(m) ? "late" : "deliver";
     },
     first: "not-run",
@@ -229,7 +229,7 @@
   },
   {
     what: "intent repeated after the answer",
-    arm: ({ fleet }) => {
+    inject: ({ fleet }) => {
       fleet.onMessage = (m) => isIntent("request")(m) ? "repeat" : "deliver";
     },
     first: "done by 0",
@@ -237,8 +237,8 @@
     runs: 1,
   },
   {
-    what: "answer's record lost",
-    arm: ({ fleet }) => {
+    what: "the answer's entry lost",
+    inject: ({ fleet }) => {
       fleet.onMessage = (m) => isAnswer("request")(m) ? "lose" : "deliver";
     },
     first: "done by 0",
@@ -246,24 +246,24 @@
     runs: 1,
   },
   {
-    what: "owner cut off from its second place",
-    arm: ({ fleet, second }) => fleet.cut(OWNER, second),
+    what: "owner partitioned from its backup",
+    inject: ({ fleet, second }) => fleet.cut(OWNER, second),
     first: "not-run",
     retry: "not-run",
     runs: 0,
   },
 ];
 
-for (const { what, arm, first, retry, runs } of SECOND_FAILS) {
+for (const { what, inject, first, retry, runs } of SECOND_FAILS) {
   test(`${what}; retry in another zone`, async (t) => {
     const setup = await makeSetup();
     const { fleet, home, elsewhere } = setup;
-    arm(setup);
+    inject(setup);
     const a = fleet.send(OWNER, { id: "op", home });
-    await fleet.pass(1_500);
+    await fleet.advance(1_500);
     const b = fleet.send(elsewhere, { id: "op", home });
-    await fleet.pass(5_000);
-    t.deepEqual([told(a), told(b), fleet.dispatches.length], [
+    await fleet.advance(5_000);
+    t.deepEqual([resultText(a), resultText(b), fleet.dispatches.length], [
       first,
       retry,
       runs,
@@ -273,57 +273,61 @@
 }
 
 /**
- * The instance that a caller sends to is not the operation's home, and the
- * message to the home gets lost, comes late or comes twice. The caller sees a
- * refusal or nothing, and repeats; a member's phone must ring once.
+ * The instance that receives the request is not the operation's home, and the
+ * message to the home is lost, late or duplicated. The caller sees a failure or
+ * nothing and retries; a member's phone must ring once.
  */
 const FORWARD_FAILS: {
   what: string;
-  fate: (m: FakeMessage, n: number) => "deliver" | "lose" | "late" | "repeat";
+  delivery: (
+    m: FakeMessage,
+    n: number,
+  ) => "deliver" | "lose" | "late" | "repeat";
   first: string;
   retry: string;
   runs: number;
 }[] = [
   {
     what: "message lost",
-    fate: (_m, n) => n === 0 ? "lose" : "deliver",
+    delivery: (_m, n) => n === 0 ? "lose" : "deliver",
     first: "unknown",
     retry: "done by 1",
     runs: 1,
   },
   {
     what: "answer lost",
-    fate: (_m, n) => n === 1 ? "lose" : "deliver",
+    delivery: (_m, n) => n === 1 ? "lose" : "deliver",
     first: "unknown",
     retry: "done by 0",
     runs: 1,
   },
   {
     what: "message late",
-    fate: (_m, n) => n === 0 ? "late" : "deliver",
+    delivery: (_m, n) => n === 0 ? "late" : "deliver",
     first: "unknown",
     retry: "done by 1",
     runs: 1,
   },
   {
     what: "message repeated",
-    fate: (_m, n) => n === 0 ? "repeat" : "deliver",
+    delivery: (_m, n) => n === 0 ? "repeat" : "deliver",
     first: "done by 0",
     retry: "done by 0",
     runs: 1,
   },
 ];
 
-for (const { what, fate, first, retry, runs } of FORWARD_FAILS) {
+for (const { what, delivery, first, retry, runs } of FORWARD_FAILS) {
   test(`forwarded: ${what}`, async (t) => {
     const { fleet, home, elsewhere } = await makeSetup();
     let n = 0;
-    fleet.onMessage = (m) => m.kind === "forward" ? fate(m, n++) : "deliver";
+    fleet.onMessage = (m) =>
+      m.kind === "forward" ? delivery(m, n++) : "deliver";
     const a = fleet.send(elsewhere, { id: "op", home, patienceMs: 1_000 });
-    await fleet.pass(1_500);
+    await fleet.advance(1_500);
     const b = fleet.send(elsewhere, { id: "op", home });
-    await fleet.pass(5_000);
-    t.deepEqual([told(a), told(b), fleet.dispatches.length], [
+    await fleet.advance(5_000);
+    t.deepEqual([resultText(a), resultText(b), fleet.dispatches.length], [
       first,
       retry,
       runs,
@@ -333,11 +337,11 @@
 }
 
 /**
- * A repeated message of an attempt that was refused arrives once more when
- * there is room again. The caller was told that it did not run and has begun
- * anew elsewhere; a run now would be the second.
+ * A duplicate message of a refused attempt arrives when there is room again.
+ * The caller was told "not run" and has started over elsewhere, so a run now
+ * would be the second.
  */
-test("a refused attempt stays refused when its message comes twice", async (t) => {
+test("a refused attempt stays refused when its message is duplicated", async (t) => {
   const { fleet, home, elsewhere } = await makeSetup();
   let refuse = true;
   fleet.onDispatch = (d) => {
@@ -349,55 +353,55 @@
     fleet.send(elsewhere, { id: "op", home }),
     fleet.send(elsewhere, { id: "plain" }),
   ];
-  await fleet.pass(500);
+  await fleet.advance(500);
   refuse = false;
-  await fleet.pass(5_000);
-  t.deepEqual(attempts.map(told), ["not-run", "not-run"]);
+  await fleet.advance(5_000);
+  t.deepEqual(attempts.map(resultText), ["not-run", "not-run"]);
   t.deepEqual(fleet.dispatches, []);
 });
 
 /**
  * The owner is paused right after its intent was recorded, long enough for
- * others to answer in its stead. When it goes on, the caller has its answer
- * already; a dispatch then would surprise whoever was told "unknown" and gave
- * the lot to somebody else.
+ * other instances to answer on its behalf. The caller was told "unknown" and
+ * may have given the lot to another buyer, so the owner must not dispatch when
+ * it resumes.
  */
-test("a paused owner does not act on an old intent", async (t) => {
+test("a paused owner does not dispatch an old intent", async (t) => {
   const { fleet, home, elsewhere } = await makeSetup();
-  when(fleet, isIntent("answer"), () => fleet.node(OWNER).pause());
+  onceOnMessage(fleet, isIntent("answer"), () => fleet.node(OWNER).pause());
   fleet.send(OWNER, { id: "op", home });
-  await fleet.pass(6_000);
+  await fleet.advance(6_000);
   const retry = fleet.send(elsewhere, { id: "op", home });
-  await fleet.pass(3_000);
+  await fleet.advance(3_000);
   fleet.node(OWNER).resume();
-  await fleet.pass(1_000);
-  t.is(told(retry), "unknown");
+  await fleet.advance(1_000);
+  t.is(resultText(retry), "unknown");
   t.deepEqual(fleet.dispatches, []);
 });
 
 /**
- * The owner is paused before its intent goes out, and somebody answers "not
- * run" in its stead. The caller begins anew at another home; the paused owner
- * must not run the first one when it wakes.
+ * The owner is paused before it sends its intent, and another instance answers
+ * "not run" on its behalf. The caller starts over at another home; the owner
+ * must not run the first attempt when it resumes.
  */
-test("a paused owner is shut out by the answer given in its stead", async (t) => {
+test("a paused owner is fenced off by the answer given on its behalf", async (t) => {
   const { fleet, home, elsewhere } = await makeSetup();
   fleet.node(OWNER).pause();
   const first = fleet.send(OWNER, { id: "op", home });
-  await fleet.pass(3_000);
+  await fleet.advance(3_000);
   const retry = fleet.send(elsewhere, { id: "op", home });
-  await fleet.pass(500);
-  t.is(told(retry), "not-run");
+  await fleet.advance(500);
+  t.is(resultText(retry), "not-run");
   fleet.node(OWNER).resume();
-  await fleet.pass(1_000);
-  t.is(told(first), "not-run");
+  await fleet.advance(1_000);
+  t.is(resultText(first), "not-run");
   t.deepEqual(fleet.dispatches, []);
 });
 
 /**
- * A caller goes away while its subscription runs, and asks again later. The
- * endpoint's answer came after the caller's patience ended; it must be there
- * for the retry, or the member subscribes twice.
+ * A caller disconnects while its subscription runs, and retries later. The
+ * endpoint answered after the caller's deadline; if the answer is lost, the
+ * member subscribes twice.
  */
 test("a late answer is kept for the retry", async (t) => {
   const { fleet, home, elsewhere } = await makeSetup();
@@ -406,12 +410,12 @@
     return answerOf(d.attempt);
   };
   const first = fleet.send(OWNER, { id: "op", home, patienceMs: 200 });
-  await fleet.pass(400);
+  await fleet.advance(400);
   const joined = fleet.send(elsewhere, { id: "op", home });
-  await fleet.pass(2_000);
+  await fleet.advance(2_000);
   const retry = fleet.send(elsewhere, { id: "op", home });
-  await fleet.pass(200);
-  t.deepEqual([first, joined, retry].map(told), [
+  await fleet.advance(200);
+  t.deepEqual([first, joined, retry].map(resultText), [
     "unknown",
     "done by 0",
     "done by 0",
@@ -420,81 +424,81 @@
 });
 
 /**
- * One id is used for two different requests by mistake. Were the second given
- * the first one's answer, its caller would believe a purchase confirmed that
- * nobody asked the endpoint for.
+ * One id is used for two different requests by mistake. If the second received
+ * the first one's answer, its caller would take a purchase as confirmed that
+ * was never sent to the endpoint.
  */
 test("an id that was used for another request is refused", async (t) => {
   const { fleet, home, elsewhere } = await makeSetup();
   fleet.send(OWNER, { id: "op", home, body: "a" });
-  await fleet.pass(100);
+  await fleet.advance(100);
   const other = fleet.send(elsewhere, { id: "op", home, body: "b" });
-  await fleet.pass(100);
-  t.is(told(other), "not-run");
+  await fleet.advance(100);
+  t.is(resultText(other), "not-run");
   t.true(other.result?.isErr() && other.result.error.code === "bad_request");
 });
 
 /**
- * A burst of new operations fills the ledger. Were old records dropped to make
- * room, their retries would run again; instead new ones are turned away, and
- * stay turned away under the tokens that were refused.
+ * A burst of new operations fills the ledger. If old records were evicted,
+ * their retries would run again; instead new operations are refused, and stay
+ * refused under the same tokens.
  */
-test("a full ledger refuses new operations and forgets none", async (t) => {
+test("a full ledger refuses new operations and evicts none", async (t) => {
   const fleet = new FakeFleet({ limits: { maxRecords: 4 } });
-  await fleet.pass(300);
+  await fleet.advance(300);
   const home = fleet.node(OWNER).operations.homeOf(OWNER);
   const first = ["1", "2", "3", "4"].map((id) =>
     fleet.send(OWNER, { id, home })
   );
-  await fleet.pass(100);
-  const over = fleet.send(OWNER, { id: "5", home });
-  await fleet.pass(100);
+  await fleet.advance(100);
+  const refused = fleet.send(OWNER, { id: "5", home });
+  await fleet.advance(100);
   const again = ["1", "2", "3", "4"].map((id) =>
     fleet.send(OWNER, { id, home })
   );
-  await fleet.pass(DEFAULT_LEDGER_LIMITS.retentionMs / 400);
-  t.deepEqual(first.map(told), again.map(told));
-  t.is(told(over), "not-run");
-  t.truthy(over.result?.isErr() && over.result.error.retryAfterMs);
+  await fleet.advance(DEFAULT_LEDGER_LIMITS.retentionMs / 400);
+  t.deepEqual(first.map(resultText), again.map(resultText));
+  t.is(resultText(refused), "not-run");
+  t.truthy(refused.result?.isErr() && refused.result.error.retryAfterMs);
   t.is(fleet.dispatches.length, 4);
 });
 
 /**
- * An attempt comes so late that its operation's record is forgotten. Nobody
- * can tell it from a new one by its id; its old token gives it away.
+ * An attempt arrives after the record of its operation has expired. Its id
+ * looks new; only the age of its token shows that it is not.
  */
-test("an attempt with an old home never starts a run", async (t) => {
+test("an attempt with an expired home token never starts a run", async (t) => {
   const fleet = new FakeFleet({ limits: { retentionMs: 700_000 } });
-  await fleet.pass(300);
+  await fleet.advance(300);
   const home = fleet.node(OWNER).operations.homeOf(OWNER);
-  fleet.clock.advance(TOKEN_LIFE_MS + 1);
-  await fleet.pass(200);
+  fleet.clock.advance(TOKEN_TTL_MS + 1);
+  await fleet.advance(200);
   const late = fleet.send(OWNER, { id: "op", home });
-  await fleet.pass(200);
+  await fleet.advance(200);
   fleet.kill(OWNER);
-  const inStead = fleet.send(MATE, { id: "op", home });
-  await fleet.pass(500);
-  t.deepEqual([told(late), told(inStead)], ["unknown", "unknown"]);
+  const onBehalf = fleet.send(ZONE_PEER, { id: "op", home });
+  await fleet.advance(500);
+  t.deepEqual([resultText(late), resultText(onBehalf)], ["unknown", "unknown"]);
   t.is(fleet.dispatches.length, 0);
 });
 
 /**
- * Somebody who reaches the peer address sends an operation under an account of
- * choice, or shuts out another's operation. Taking that at its word would run
- * requests without any key. What callers learn from tokens must not help.
+ * A stranger that reaches the peer address sends an operation under any
+ * account, or fences off another's operation. Accepting it would run requests
+ * without an API key. The public incarnation in tokens must not suffice.
  */
-test("a stranger's call runs nothing and shuts nothing out", async (t) => {
+test("a stranger's call runs nothing and fences nothing off", async (t) => {
   const { fleet, home } = await makeSetup();
   const { operations, incarnation } = fleet.node(OWNER);
-  const [, shown] = home.split("~");
-  t.not(shown, incarnation);
-  for (const life of ["", shown ?? ""]) {
-    const from = { instance: MATE, incarnation: life };
+  const [, publicId] = home.split("~");
+  t.not(publicId, incarnation);
+  for (const incarnationId of ["", publicId ?? ""]) {
+    const from = { instance: ZONE_PEER, incarnation: incarnationId };
     const forwarded = await operations.forward(
       create(ForwardRequestSchema, { id: "op", account: "a1", home, from }),
     );
     const settled = operations.settle(
-      create(SettleRequestSchema, { incarnation: shown ?? "", from }),
+      create(SettleRequestSchema, { incarnation: publicId ?? "", from }),
     );
     t.true(forwarded.gone && settled.gone);
   }
--- a/src/operations/home_seat.ts
+++ b/src/operations/home_seat.ts
@@ -1,18 +1,18 @@
 /**
- * The home of an operation id that came without a home token: one seat, found
- * by rendezvous hashing over all seats that the steering document names.
+ * The home of an operation whose id came without a home token: one seat, chosen
+ * by rendezvous hashing over all seats in the steering document.
  *
- * Were it found over the live instances or the seats heard of, two instances
- * that hear different ones would name different homes, and an operation would
- * run at both.
+ * If it were chosen from the live instances or from the seats known through
+ * gossip, two instances with different views would choose different homes, and
+ * an operation would run at both.
  *
  * @module
  */
 import type { Seat } from "../membership/mod.ts";
 import type { ZoneId } from "../core/mod.ts";
-import { hashText, mix } from "./places.ts";
+import { hashText, mix } from "./replica_table.ts";
 
-/** A zone and how many seats it has. */
+/** A zone and its number of seats. */
 export interface ZoneSeats {
   readonly zone: ZoneId;
   readonly instances: number;
@@ -22,13 +22,13 @@
   readonly hash: number;
 }
 
-/** What an id's home is found by. */
+/** The key by which an operation's home is found. */
 export interface OperationIdentity {
   readonly account: string;
   readonly id: string;
 }
 
-/** The seats of one document. */
+/** The seats of one steering document. */
 export class SeatSet {
   readonly #seats: readonly HashedSeat[];
 
@@ -43,7 +43,7 @@
   }
 
   /**
-   * Finds an id's seat; undefined where there is none.
+   * Returns the home seat of an operation; undefined if there are no seats.
    *
    * @example
    * ```ts
@@ -65,7 +65,7 @@
   }
 }
 
-/** Whether two names stand for one seat. */
+/** Whether two values name the same seat. */
 export function isSameSeat(a: Seat | undefined, b: Seat | undefined): boolean {
   return a?.zone === b?.zone && a?.index === b?.index;
 }
--- a/src/operations/ledger.ts
+++ b/src/operations/ledger.ts
@@ -1,12 +1,12 @@
 /**
- * The ledger: what one instance knows of operations, as owner and as second
- * place. It decides and imports no network.
+ * The ledger: the operation records of one instance, as owner and as backup. It
+ * makes the decisions and does no network I/O.
  *
- * It answers retries, repeated and late messages, and a fast arrival of new
- * operations. Without it a repeated message runs an operation twice, which an
+ * It handles retries, duplicate and late messages, and bursts of new
+ * operations. Without it a duplicate message runs an operation twice, which an
  * importer notices as a second deposit. It is bounded by time and size; at the
- * bound new operations are refused and none is forgotten early, since a
- * forgotten one would run again when its caller retries.
+ * limit new operations are refused and no record is evicted early, since its
+ * operation would run again on a retry.
  *
  * @module
  */
@@ -19,19 +19,19 @@
   type LedgerLimits,
   type LedgerRecord,
   type OperationName,
-  type PlaceDecision,
   type RecordView,
   type SeatEpoch,
+  type SettleDecision,
 } from "./ledger_record.ts";
 
 export * from "./ledger_record.ts";
 
-const NOTHING: RecordView = { state: "none", fingerprint: "" };
+const NO_RECORD: RecordView = { state: "none", fingerprint: "" };
 
-/** The table of records of one instance. */
+/** The records of one instance. */
 export class Ledger {
   readonly limits: LedgerLimits;
-  /** Records by account and id; nearly always one, whatever its scope. */
+  /** Records by account and id; nearly always one per key. */
   #records = new Map<string, readonly LedgerRecord[]>();
   #size = 0;
   #epochs = new Map<string, number>();
@@ -51,17 +51,17 @@
     return this.#bytes;
   }
 
-  /** Runs begun here so far. */
+  /** The number of runs started here so far. */
   get runs(): number {
     return this.#runs;
   }
 
-  /** The highest epoch of a seat that was heard of; 0 if none. */
+  /** The highest epoch of a seat seen so far; 0 if none. */
   epochOf(zone: string, index: number): number {
     return this.#epochs.get(seatKey({ zone, index })) ?? 0;
   }
 
-  /** Whether new operations are refused for want of room. */
+  /** Whether new operations are refused because the ledger is full. */
   get full(): boolean {
     return this.size >= this.limits.maxRecords ||
       this.#bytes >= this.limits.maxBytes;
@@ -76,20 +76,20 @@
   }
 
   view(name: OperationName): RecordView {
-    return this.#get(name) ?? NOTHING;
+    return this.#get(name) ?? NO_RECORD;
   }
 
-  /** Whether an operation is known, under this name or another of its id. */
-  knows(name: OperationName): boolean {
+  /** Whether an operation has a record, under this or another scope. */
+  has(name: OperationName): boolean {
     return this.#find(name) !== undefined;
   }
 
-  /** Takes no new intent from now on; what is held can then be handed over. */
+  /** Rejects new intents, so that the records can be handed over. */
   close(): void {
     this.#closed = true;
   }
 
-  /** An attempt arrives at the owner: starts it unless the id is known. */
+  /** Handles an attempt at the owner: starts it unless the id has a record. */
   begin(
     entry: Omit<IntentEntry, "run">,
     now: number,
@@ -109,29 +109,29 @@
   }
 
   /**
-   * An intent arrives at the second place. One of an earlier run that comes
-   * late must not take the place of a later run's: the end of the earlier run
-   * would then clear the record of one that is being dispatched.
+   * Handles an intent at the backup. A late intent of an earlier run must not
+   * replace that of a later run: the conclusion of the earlier run would then
+   * clear the record of one that is being dispatched.
    */
-  intent(entry: IntentEntry, now: number): PlaceDecision {
+  intent(entry: IntentEntry, now: number): SettleDecision {
     const known = this.#get(entry.name);
     if (known !== undefined && !isSameOwner(known, entry)) {
       return { ...viewOf(known), accepted: false };
     }
-    if (known !== undefined && orderOf(known.run) > orderOf(entry.run)) {
+    if (known !== undefined && runNumber(known.run) > runNumber(entry.run)) {
       return { ...viewOf(known), accepted: false };
     }
-    if (!this.#admitsEpoch(entry.seat)) {
-      return { ...NOTHING, state: "refused", accepted: false };
+    if (!this.#acceptEpoch(entry.seat)) {
+      return { ...NO_RECORD, state: "refused", accepted: false };
     }
-    if (this.full || this.#closed) return { ...NOTHING, accepted: false };
+    if (this.full || this.#closed) return { ...NO_RECORD, accepted: false };
     this.#store({ ...entry, state: "intent" }, now + entry.keepMs);
     return { state: "intent", fingerprint: entry.fingerprint, accepted: true };
   }
 
   /**
-   * A run ended. A conclusion of another run is left out: a late message of
-   * an earlier run must not clear the intent of the one that runs now.
+   * Concludes a run. A conclusion of another run is ignored: a late message of
+   * an earlier run must not clear the intent of the current one.
    */
   conclude(
     name: OperationName,
@@ -142,31 +142,31 @@
     if (known === undefined || known.run !== run) return;
     if (known.state !== "intent") return;
     if (conclusion.state === "refused" && name.scope === "") {
-      this.#drop(known);
+      this.#delete(known);
       return;
     }
     const answer = conclusion.state === "answered"
-      ? this.#kept(conclusion.answer)
+      ? this.#storable(conclusion.answer)
       : undefined;
     const expiresAt = now + this.limits.retentionMs;
     this.#store({ ...known, state: conclusion.state, answer }, expiresAt);
   }
 
   /**
-   * Somebody asks in the owner's stead: whatever has no intent yet gets none
-   * any more, so that "not run" stays true.
+   * Answers a query on behalf of the owner and rejects any intent that arrives
+   * later, so that an answer of "not run" stays true.
    *
-   * For a seat, only owners of an earlier epoch are shut out.
+   * For a seat, only owners of an earlier epoch are fenced off.
    */
   fence(
     name: OperationName,
     { seat, now }: { seat?: SeatEpoch | undefined; now: number },
-  ): PlaceDecision {
-    if (seat) this.#raise(seat);
+  ): SettleDecision {
+    if (seat) this.#raiseEpoch(seat);
     const known = this.#get(name);
     if (known !== undefined) return { ...viewOf(known), accepted: true };
-    if (seat) return { ...NOTHING, accepted: true };
-    if (this.full) return { ...NOTHING, accepted: false };
+    if (seat) return { ...NO_RECORD, accepted: true };
+    if (this.full) return { ...NO_RECORD, accepted: false };
     const record = {
       name,
       fingerprint: "",
@@ -178,86 +178,86 @@
     return { state: "refused", fingerprint: "", accepted: true };
   }
 
-  /** Takes a leaver's record over, unless more is known here. */
+  /** Takes over a leaving instance's record unless more is recorded here. */
   copy(record: Omit<LedgerRecord, "expiresAt">, now: number): boolean {
     const known = this.#get(record.name);
     if (known !== undefined && known.run !== record.run) return true;
     if (known !== undefined && known.state !== "intent") return true;
     if (this.size >= this.limits.maxRecords) return false;
     this.#store(
-      { ...record, answer: this.#kept(record.answer) },
+      { ...record, answer: this.#storable(record.answer) },
       now + this.limits.retentionMs,
     );
     return true;
   }
 
-  /** Forgets what is over its time. */
+  /** Removes expired records. */
   expire(now: number): void {
     for (const record of this.records()) {
-      if (record.expiresAt <= now) this.#drop(record);
+      if (record.expiresAt <= now) this.#delete(record);
     }
   }
 
-  /** A copy that goes its own way; for checking all interleavings. */
+  /** An independent copy, for exploring all interleavings. */
   clone(): Ledger {
-    const twin = new Ledger(this.limits);
-    twin.#records = new Map(this.#records);
-    twin.#size = this.#size;
-    twin.#epochs = new Map(this.#epochs);
-    twin.#bytes = this.#bytes;
-    twin.#runs = this.#runs;
-    twin.#closed = this.#closed;
-    return twin;
+    const copy = new Ledger(this.limits);
+    copy.#records = new Map(this.#records);
+    copy.#size = this.#size;
+    copy.#epochs = new Map(this.#epochs);
+    copy.#bytes = this.#bytes;
+    copy.#runs = this.#runs;
+    copy.#closed = this.#closed;
+    return copy;
   }
 
   /**
-   * The record of a name. A caller that took a new home without having been
-   * told `not-run` would run twice; where one instance sees both names, the
-   * earlier one counts.
+   * The record of an operation, by name or else by id. A caller that changed
+   * its home without having received `not-run` would run twice; if one instance
+   * has a record under either name, the earlier one counts.
    */
   #find(name: OperationName): LedgerRecord | undefined {
     return this.#get(name) ??
-      this.#records.get(idOf(name))?.find((r) => r.state !== "refused");
+      this.#records.get(operationKey(name))?.find((r) => r.state !== "refused");
   }
 
   #get(name: OperationName): LedgerRecord | undefined {
-    return this.#records.get(idOf(name))?.find((r) =>
+    return this.#records.get(operationKey(name))?.find((r) =>
       r.name.scope === name.scope
     );
   }
 
-  #admitsEpoch(seat: SeatEpoch | undefined): boolean {
+  #acceptEpoch(seat: SeatEpoch | undefined): boolean {
     if (seat === undefined) return true;
     if (seat.epoch < (this.#epochs.get(seatKey(seat)) ?? 0)) return false;
-    this.#raise(seat);
+    this.#raiseEpoch(seat);
     return true;
   }
 
-  #raise(seat: SeatEpoch): void {
+  #raiseEpoch(seat: SeatEpoch): void {
     const key = seatKey(seat);
     this.#epochs.set(key, Math.max(seat.epoch, this.#epochs.get(key) ?? 0));
   }
 
-  #kept(answer: RecordedAnswer | undefined): RecordedAnswer | undefined {
+  #storable(answer: RecordedAnswer | undefined): RecordedAnswer | undefined {
     if (answer === undefined) return undefined;
     if (answer.body.length > this.limits.maxAnswerBytes) return undefined;
-    // A body is often a view of a whole message; kept as it is, it would hold
-    // that message in memory for as long as the record lives.
+    // A body is often a view into a whole message; stored as it is, it would
+    // keep that message in memory for the life of the record.
     return { ...answer, body: new Uint8Array(answer.body) };
   }
 
   #store(record: Omit<LedgerRecord, "expiresAt">, expiresAt: number): void {
     const before = this.#get(record.name);
-    if (before) this.#drop(before);
-    const id = idOf(record.name);
+    if (before) this.#delete(before);
+    const id = operationKey(record.name);
     const others = this.#records.get(id) ?? [];
     this.#records.set(id, [...others, { ...record, expiresAt }]);
     this.#bytes += bytesOf(record);
     this.#size += 1;
   }
 
-  #drop(record: LedgerRecord): void {
-    const id = idOf(record.name);
+  #delete(record: LedgerRecord): void {
+    const id = operationKey(record.name);
     const rest = this.#records.get(id)?.filter((r) => r !== record) ?? [];
     if (rest.length > 0) this.#records.set(id, rest);
     else this.#records.delete(id);
@@ -274,17 +274,17 @@
   return known.owner === entry.owner && known.state === "intent";
 }
 
-/** Runs of one owner are numbered in the order of their beginning. */
-function orderOf(run: string): number {
+/** Runs of one owner are numbered in the order in which they start. */
+function runNumber(run: string): number {
   return Number(run.slice(run.lastIndexOf(".") + 1));
 }
 
-function idOf(name: OperationName): string {
+function operationKey(name: OperationName): string {
   return `${name.account} ${name.id}`;
 }
 
-/** A name as the key of a map. */
-export function keyOf(name: OperationName): string {
+/** The name as a map key. */
+export function nameKey(name: OperationName): string {
   return `${name.account} ${name.id} ${name.scope}`;
 }
 
--- a/src/operations/ledger_record.ts
+++ b/src/operations/ledger_record.ts
@@ -1,64 +1,64 @@
 /**
- * What a ledger holds, is told and decides.
+ * Records, entries and decisions of the ledger.
  *
  * @module
  */
 import type { RecordedAnswer } from "./operations.ts";
 
-/** Tells operations apart; the scope is that of a home token, or empty. */
+/** Identifies an operation; the scope is that of its home token, or empty. */
 export interface OperationName {
   readonly account: string;
   readonly id: string;
   readonly scope: string;
 }
 
-/** A seat and the epoch of the holder that speaks. */
+/** A seat and the epoch of the holder that sends the entry. */
 export interface SeatEpoch {
   readonly zone: string;
   readonly index: number;
   readonly epoch: number;
 }
 
-/** What is known of an operation. */
+/** The recorded state of an operation. */
 export type RecordState =
   | "none"
-  /** About to run, running, or ran without an answer. */
+  /** About to run, running, or ended without an answer. */
   | "intent"
   | "answered"
   /** Did not run and never will under this name. */
   | "refused"
-  /** Ran or may have run; no answer will come. */
+  /** Ran or may have run; no answer will follow. */
   | "unknown";
 
-/** What a place tells of an operation. */
+/** A replica's view of an operation. */
 export interface RecordView {
   readonly state: RecordState;
   readonly fingerprint: string;
-  /** Absent where it was too large to be kept. */
+  /** Absent if it was too large to store. */
   readonly answer?: RecordedAnswer | undefined;
 }
 
-/** One record. */
+/** A record of one operation. */
 export interface LedgerRecord extends RecordView {
   readonly name: OperationName;
-  /** The run that the record stands for. */
+  /** The run that the record belongs to. */
   readonly run: string;
   /** The incarnation that runs it. */
   readonly owner: string;
   readonly seat?: SeatEpoch | undefined;
-  /** When it may be forgotten, on this instance's clock. */
+  /** When the record expires, on this instance's clock. */
   readonly expiresAt: number;
 }
 
-/** What an owner does with an attempt. */
+/** The owner's decision on an attempt. */
 export type BeginDecision =
   | { readonly kind: "start"; readonly run: string }
-  /** It is known; the view says how far. */
+  /** The operation has a record, which gives its state. */
   | { readonly kind: "known"; readonly record: LedgerRecord }
   | { readonly kind: "mismatch" }
   | { readonly kind: "full" };
 
-/** An intent as its owner or second place records it. */
+/** An intent as recorded by the owner or the backup. */
 export interface IntentEntry {
   readonly name: OperationName;
   readonly fingerprint: string;
@@ -68,32 +68,32 @@
   readonly seat?: SeatEpoch | undefined;
 }
 
-/** What a place says to an entry; not accepted means that it took no effect. */
-export interface PlaceDecision extends RecordView {
+/** A replica's decision on an entry; one that is not accepted has no effect. */
+export interface SettleDecision extends RecordView {
   readonly accepted: boolean;
 }
 
-/** How a run ended, as it is recorded. */
+/** How a run ended, as recorded. */
 export type Conclusion =
   | { readonly state: "answered"; readonly answer?: RecordedAnswer | undefined }
   | { readonly state: "unknown" | "refused" };
 
-/** Bounds of a ledger. */
+/** Limits of a ledger. */
 export interface LedgerLimits {
-  /** How long a concluded record is kept, in milliseconds. */
+  /** Retention time of a concluded record, in milliseconds. */
   readonly retentionMs: number;
   readonly maxRecords: number;
-  /** Bytes of recorded answers, all together. */
+  /** Total bytes of recorded answers. */
   readonly maxBytes: number;
-  /** A larger answer is dropped; that it ran stays. */
+  /** A larger answer is dropped; the record that the operation ran is kept. */
   readonly maxAnswerBytes: number;
 }
 
 /**
  * Ten minutes outlast every sensible retry. A record takes about 1.2 kB of
- * heap, so that 20,000 of them and 8 MB of answers make about 32 MB, what
- * control may take. That is 33 records a second over the ten minutes; each
- * operation makes two, at its owner and at its second place.
+ * heap, so 20,000 records and 8 MB of answers make about 32 MB, the memory
+ * allowed for the control plane. That allows 33 records a second over the ten
+ * minutes; each operation makes two, at its owner and at its backup.
  */
 export const DEFAULT_LEDGER_LIMITS: LedgerLimits = {
   retentionMs: 600_000,
--- a/src/operations/ledger_test.ts
+++ b/src/operations/ledger_test.ts
@@ -8,10 +8,9 @@
 }
 
 /**
- * The owner gave up on a first run and began a second. The first one's intent
- * arrives late at the second place, then the word that it was given up. Were
- * the second run's record cleared by that, a new holder of the seat would
- * place the same hold again.
+ * The owner gave up on a first run and started a second. The first one's intent
+ * arrives late at the backup, then its refusal. If that cleared the second
+ * run's record, a new holder of the seat would place the same hold again.
  */
 test("a late intent of an earlier run does not replace a later one", (t) => {
   const ledger = new Ledger();
@@ -22,10 +21,10 @@
 });
 
 /**
- * Answers fill the memory. An answer too large to be kept is dropped; that the
- * operation ran is not, or its retry would run again.
+ * Answers are bounded in size. If dropping a large answer also dropped the
+ * record that the operation ran, a retry would run it again.
  */
-test("a large answer is dropped, the record stays", (t) => {
+test("a large answer is dropped, its record is kept", (t) => {
   const ledger = new Ledger({ ...DEFAULT_LEDGER_LIMITS, maxAnswerBytes: 10 });
   ledger.intent(intentOf("o.1"), 0);
   const answer = { status: 200, headers: {}, body: new Uint8Array(11) };
@@ -36,7 +35,7 @@
   t.is(ledger.bytes, 0);
 });
 
-test("bytes of answers are counted, bounded and given back", (t) => {
+test("answer bytes are counted, bounded and released", (t) => {
   const ledger = new Ledger({ ...DEFAULT_LEDGER_LIMITS, maxBytes: 8 });
   ledger.intent(intentOf("o.1"), 0);
   const answer = { status: 200, headers: {}, body: new Uint8Array(8) };
@@ -54,11 +53,11 @@
 });
 
 /**
- * An answer arrives as a small part of a large message between instances. Kept
- * as that part, it holds the whole message in memory for ten minutes, and an
- * instance runs out of memory while its ledger says that it is nearly empty.
+ * An answer arrives as a small part of a large message between instances.
+ * Stored as a view, it keeps the whole message in memory for ten minutes, and
+ * the instance runs out of memory while its ledger counts few bytes.
  */
-test("a kept answer does not hold the message it came in", (t) => {
+test("a recorded answer does not retain the message it arrived in", (t) => {
   const ledger = new Ledger();
   ledger.intent(intentOf("o.1"), 0);
   const body = new Uint8Array(1_000_000).subarray(0, 10);
--- a/src/operations/local_operations.ts
+++ b/src/operations/local_operations.ts
@@ -1,8 +1,8 @@
 /**
- * The plain baseline: at most once among attempts that reach this instance.
+ * Baseline: at most once among attempts that reach this instance.
  *
- * What goes wrong with it: a retry through another instance runs again, which
- * shows as a doubled effect at the endpoint.
+ * A retry through another instance runs again, which shows as a doubled effect
+ * at the endpoint.
  *
  * @module
  */
@@ -19,7 +19,7 @@
   readonly running: Promise<RunResult>;
 }
 
-/** Remembers operations in this process alone. */
+/** Keeps operation records in this process only. */
 export class LocalOperations implements Operations {
   readonly #runner: OperationRunner;
   readonly #entries = new Map<string, Entry>();
--- a/src/operations/mod.ts
+++ b/src/operations/mod.ts
@@ -1,5 +1,5 @@
 /**
- * At most once.
+ * Runs operations that are not idempotent at most once.
  *
  * @module
  */
@@ -10,5 +10,5 @@
 export * from "./local_operations.ts";
 export * from "./operations.ts";
 export * from "./owned_operations.ts";
-export * from "./places.ts";
-export * from "./second_places.ts";
+export * from "./replica_table.ts";
+export * from "./backup_writer.ts";
--- a/src/operations/forwarder.ts
+++ b/src/operations/operation_forwarder.ts
@@ -1,5 +1,5 @@
 /**
- * Carries an operation to the instance that is its home.
+ * Forwards an operation to the instance that is its home.
  *
  * @module
  */
@@ -20,10 +20,10 @@
 import { runResultFromWire } from "./codec.ts";
 import type { PeerCredential } from "./home_token.ts";
 import type { OperationRequest, RunResult } from "./operations.ts";
-import type { KnownPlace } from "./places.ts";
+import type { PeerReplica } from "./replica_table.ts";
 
-/** What forwarding needs. */
-export interface ForwarderDeps {
+/** Dependencies of forwarding. */
+export interface OperationForwarderDeps {
   readonly credential: PeerCredential;
   readonly transport: PeerTransport;
   readonly clock: Clock;
@@ -32,25 +32,25 @@
 }
 
 const ATTEMPT_BYTES = 8;
-/** The home gives up first, so that its word comes before the timeout. */
-const GRACE_MS = 50;
+/** The home times out first, so that its response precedes the timeout. */
+const RESPONSE_GRACE_MS = 50;
 
-/** Forwards operations, each message under an attempt of its own. */
-export class Forwarder {
-  readonly #deps: ForwarderDeps;
+/** Forwards operations, each message with its own attempt id. */
+export class OperationForwarder {
+  readonly #deps: OperationForwarderDeps;
 
-  constructor(deps: ForwarderDeps) {
+  constructor(deps: OperationForwarderDeps) {
     this.#deps = deps;
   }
 
   /**
-   * Has the operation run at `to`. Fails with outcome `not-run` where the
-   * message surely did not arrive or came to another incarnation, else
+   * Runs the operation at `to`. Fails with outcome `not-run` if the message
+   * certainly did not arrive or reached another incarnation, else with
    * `unknown`.
    */
   async send(
     req: OperationRequest,
-    to: KnownPlace,
+    to: PeerReplica,
   ): Promise<Result<RunResult, Failure>> {
     const { random, transport, metrics } = this.#deps;
     const msg = create(ForwardRequestSchema, {
@@ -69,36 +69,36 @@
       attempt: random.hex(ATTEMPT_BYTES),
     });
     metrics.count("operations.forwarded");
-    const timeoutMs = Math.ceil(req.patienceMs) + GRACE_MS;
+    const timeoutMs = Math.ceil(req.patienceMs) + RESPONSE_GRACE_MS;
     const res = await transport.forward(to.peerUrl, msg, timeoutMs);
     if (res.isErr()) return err(res.error);
     if (!res.value.gone) return ok(runResultFromWire(res.value));
     return fail("not_found", "the home has moved", { outcome: "not-run" });
   }
 
-  /** Waits no longer than the caller does; the run itself goes on. */
-  patiently(
+  /** Waits no longer than the caller does; the run itself continues. */
+  withCallerTimeout(
     req: OperationRequest,
-    running: Promise<RunResult>,
+    run: Promise<RunResult>,
   ): Promise<RunResult> {
     return new Promise((resolve, reject) => {
       const timer = this.#deps.clock.after(
         Math.max(0, req.patienceMs),
-        () => resolve(outOfTime()),
+        () => resolve(deadlineExceeded()),
       );
-      running.then(resolve, reject).finally(() => timer.close());
+      run.then(resolve, reject).finally(() => timer.close());
     });
   }
 }
 
-/** The caller's patience is over; the run may still be going on. */
-export function outOfTime(): RunResult {
+/** The caller's deadline has passed; the run may still be in progress. */
+export function deadlineExceeded(): RunResult {
   return fail("deadline_exceeded", "the operation may still be running", {
     outcome: "unknown",
   });
 }
 
-/** Reads a forwarded operation. Peers are trusted: they checked key and ids. */
+/** Decodes an operation. Peers are trusted: they checked API key and ids. */
 export function requestFromWire(msg: ForwardRequest): OperationRequest {
   return {
     account: msg.account as AccountId,
--- a/src/operations/operations.ts
+++ b/src/operations/operations.ts
@@ -1,6 +1,6 @@
 /**
- * Requests that are not idempotent run at most once: each runs under an
- * operation id, and a second attempt never starts a second run.
+ * At-most-once execution of requests that are not idempotent: each runs under
+ * an operation id, and a retry with that id never starts a second run.
  *
  * @module
  */
@@ -13,56 +13,56 @@
 } from "../core/mod.ts";
 import type { Headers } from "../endpoints/mod.ts";
 
-/** Identifies an operation; ids of different accounts never meet. */
+/** Identifies an operation; ids are scoped to their account. */
 export interface OperationKey {
   readonly account: AccountId;
   readonly id: OperationId;
-  /** Digest of what is asked, so that one id cannot stand for two requests. */
+  /** Digest of the request, so that one id cannot be used for two requests. */
   readonly fingerprint: string;
-  /** The home that a look-up handed out, if the caller sent it back. */
+  /** The home token from a lookup, if the caller sent one. */
   readonly home?: string;
 }
 
-/** All that an endpoint is to be asked, wherever it is dispatched from. */
+/** The complete request for an endpoint, whichever instance sends it. */
 export interface OperationRequest extends OperationKey {
-  /** Whether the id was made here, so that no other attempt can know it. */
+  /** Whether this instance generated the id, so that no retry can carry it. */
   readonly generated: boolean;
   readonly service: ServiceId;
   readonly method: string;
   readonly path: string;
-  /** End-to-end headers; the caller's key is not among them. */
+  /** End-to-end headers, without the caller's API key. */
   readonly headers: Headers;
   readonly body: Uint8Array;
-  /** How long the caller still waits, in milliseconds. */
+  /** How long the caller will still wait, in milliseconds. */
   readonly patienceMs: number;
 }
 
-/** A whole recorded answer of an endpoint. */
+/** An endpoint's complete response, as recorded. */
 export interface RecordedAnswer {
   readonly status: number;
   readonly headers: Headers;
   readonly body: Uint8Array;
 }
 
-/** How a run ended. */
+/** The result of a run. */
 export type RunResult = Result<RecordedAnswer, Failure>;
 
 /** Dispatches an operation to an endpoint. */
 export interface OperationRunner {
-  /** How long a run of the operation may take, in milliseconds. */
+  /** Upper bound on the duration of a run, in milliseconds. */
   limitMs(req: OperationRequest): number;
-  /** Runs it within `limitMs`, whether or not a caller still waits. */
+  /** Runs the operation within `limitMs`, even if no caller waits any more. */
   run(req: OperationRequest): Promise<RunResult>;
 }
 
 /** Runs operations at most once. */
 export interface Operations {
   /**
-   * Runs the operation unless it ran before; then gives the recorded answer,
-   * joins the running attempt, or fails with `outcome_unknown`.
+   * Runs the operation unless it has run before; otherwise returns the recorded
+   * answer, joins the run in progress, or fails with `outcome_unknown`.
    *
-   * Every failure carries `outcome`: `not-run` where this attempt surely did
-   * not run and never will, else `unknown`.
+   * Every failure carries `outcome`: `not-run` if this attempt did not run and
+   * never will, else `unknown`.
    */
   run(req: OperationRequest): Promise<RunResult>;
 }
--- a/src/operations/owned_operations.ts
+++ b/src/operations/owned_operations.ts
@@ -1,20 +1,20 @@
 /**
- * Operations whose home is this instance: each is begun once, its intent is
- * recorded at a second place, and only then is it dispatched.
+ * Operations whose home is this instance: each is started once, its intent is
+ * recorded at a backup replica, and only then is it dispatched.
  *
- * Were it dispatched first, an instance that dies between dispatch and record
- * would leave nobody who knows of the run; the retry would run it again.
+ * If it were dispatched first, an instance that crashes between dispatch and
+ * record would leave no record of the run, and a retry would run it again.
  *
  * @module
  */
 import { type Clock, fail, type Failure, type Metrics } from "../core/mod.ts";
-import type { Place } from "./home_token.ts";
+import type { Replica } from "./home_token.ts";
 import {
   type Conclusion,
   type IntentEntry,
-  keyOf,
   type Ledger,
   type LedgerRecord,
+  nameKey,
   type OperationName,
   type SeatEpoch,
 } from "./ledger.ts";
@@ -23,44 +23,44 @@
   OperationRunner,
   RunResult,
 } from "./operations.ts";
-import type { Placed, SecondPlaces } from "./second_places.ts";
+import type { BackupReceipt, BackupWriter } from "./backup_writer.ts";
 import {
-  mismatch,
-  notNow,
+  idReused,
   refused,
+  resultOf,
   RETRY_AFTER_MS,
-  verdictOf,
-} from "./verdict.ts";
+  unavailable,
+} from "./run_results.ts";
 
-/** On which ground an attempt is this instance's to run. */
-export interface Ground {
+/** The basis on which this instance may run an attempt. */
+export interface Ownership {
   readonly name: OperationName;
-  /** Where alone the intent may be recorded; any place if undefined. */
-  readonly second?: Place | undefined;
+  /** The only replica that may record the intent; any replica if undefined. */
+  readonly backup?: Replica | undefined;
   readonly seat?: SeatEpoch | undefined;
-  /** Whether the ground still holds; asked right before dispatch. */
-  readonly holds: () => boolean;
+  /** Whether the ownership still holds; checked right before dispatch. */
+  readonly isCurrent: () => boolean;
 }
 
-/** What owned operations need. */
+/** Dependencies of owned operations. */
 export interface OwnedOperationsDeps {
-  readonly self: Place;
+  readonly self: Replica;
   readonly ledger: Ledger;
-  readonly seconds: SecondPlaces;
+  readonly seconds: BackupWriter;
   readonly runner: OperationRunner;
   readonly clock: Clock;
   readonly metrics: Metrics;
 }
 
 /**
- * An intent this old, in milliseconds, is not acted upon. The process was
- * paused between record and dispatch; meanwhile others may have decided on
- * the operation. It is far above a slow second place and far below the time
- * that a second place keeps an intent.
+ * An intent older than this, in milliseconds, is not dispatched. The process
+ * was paused between record and dispatch, and other instances may have decided
+ * on the operation meanwhile. The value is far above the latency of a slow
+ * backup and far below the time for which a backup keeps an intent.
  */
-export const INTENT_FRESH_MS = 5_000;
+export const MAX_INTENT_AGE_MS = 5_000;
 
-/** Runs operations of which this instance is the home. */
+/** Runs operations whose home is this instance. */
 export class OwnedOperations {
   readonly #deps: OwnedOperationsDeps;
   readonly #running = new Map<string, Promise<RunResult>>();
@@ -69,50 +69,53 @@
     this.#deps = deps;
   }
 
-  /** Operations begun here that have not ended. */
+  /** The number of operations started here that have not ended. */
   get running(): number {
     return this.#running.size;
   }
 
-  /** Starts the operation, joins it, or tells what is known of it. */
-  attempt(req: OperationRequest, ground: Ground): Promise<RunResult> {
+  /** Starts the operation, joins its run, or returns its recorded result. */
+  attempt(req: OperationRequest, ownership: Ownership): Promise<RunResult> {
     const { ledger, clock, self, runner } = this.#deps;
     const entry = {
-      name: ground.name,
+      name: ownership.name,
       fingerprint: req.fingerprint,
       owner: self.incarnation,
-      seat: ground.seat,
+      seat: ownership.seat,
       keepMs: runner.limitMs(req) + ledger.limits.retentionMs,
     };
     const decision = ledger.begin(entry, clock.now());
-    if (decision.kind === "mismatch") return Promise.resolve(mismatch());
-    if (decision.kind === "full") return Promise.resolve(overflow());
+    if (decision.kind === "mismatch") return Promise.resolve(idReused());
+    if (decision.kind === "full") return Promise.resolve(ledgerFull());
     if (decision.kind === "known") {
-      return this.#known(decision.record, req.fingerprint);
+      return this.#existingResult(decision.record, req.fingerprint);
     }
-    return this.#track({ ...entry, run: decision.run }, req, ground);
+    return this.#track({ ...entry, run: decision.run }, req, ownership);
   }
 
-  /** Resolves when nothing that was begun here runs any more. */
+  /** Resolves when no operation that started here is running. */
   async settled(): Promise<void> {
     while (this.#running.size > 0) {
       await Promise.allSettled(this.#running.values());
     }
   }
 
-  #known(record: LedgerRecord, fingerprint: string): Promise<RunResult> {
-    const running = this.#running.get(keyOf(record.name));
+  #existingResult(
+    record: LedgerRecord,
+    fingerprint: string,
+  ): Promise<RunResult> {
+    const running = this.#running.get(nameKey(record.name));
     this.#deps.metrics.count("operations.repeated");
-    return running ?? Promise.resolve(verdictOf(record, fingerprint));
+    return running ?? Promise.resolve(resultOf(record, fingerprint));
   }
 
   async #track(
     intent: IntentEntry,
     req: OperationRequest,
-    ground: Ground,
+    ownership: Ownership,
   ): Promise<RunResult> {
-    const key = keyOf(intent.name);
-    const running = this.#start(intent, req, ground);
+    const key = nameKey(intent.name);
+    const running = this.#start(intent, req, ownership);
     this.#running.set(key, running);
     try {
       return await running;
@@ -124,25 +127,25 @@
   async #start(
     intent: IntentEntry,
     req: OperationRequest,
-    ground: Ground,
+    ownership: Ownership,
   ): Promise<RunResult> {
     const { clock, metrics, seconds } = this.#deps;
     const startedAt = clock.now();
-    const placed = await seconds.record(intent, ground.second);
+    const receipt = await seconds.record(intent, ownership.backup);
     const recordMs = clock.now() - startedAt;
     metrics.timing("operations.second_place", recordMs);
-    if (placed.isErr()) {
-      return this.#refuse(intent, noSecondPlace(placed.error));
+    if (receipt.isErr()) {
+      return this.#refuse(intent, backupUnavailable(receipt.error));
     }
-    const { place, decision } = placed.value;
-    if (!decision.accepted) return this.#adopt(intent, placed.value);
-    if (recordMs > INTENT_FRESH_MS || !ground.holds()) {
-      const late = this.#never(intent, "this instance was paused or replaced");
-      return this.#refuse(intent, late, place);
+    const { replica, decision } = receipt.value;
+    if (!decision.accepted) return this.#resolveRejected(intent, receipt.value);
+    if (recordMs > MAX_INTENT_AGE_MS || !ownership.isCurrent()) {
+      const late = this.#notRun(intent, "this instance was paused or replaced");
+      return this.#refuse(intent, late, replica);
     }
     const patienceMs = req.patienceMs - recordMs;
     const result = await this.#dispatch({ ...req, patienceMs });
-    this.#conclude(intent, conclusionOf(result), place);
+    this.#conclude(intent, conclusionOf(result), replica);
     return result;
   }
 
@@ -150,49 +153,60 @@
     try {
       return await this.#deps.runner.run(req);
     } catch (cause) {
-      return fail("internal", `the run broke off: ${String(cause)}`, {
+      return fail("internal", `the run failed: ${String(cause)}`, {
         outcome: "unknown",
       });
     }
   }
 
-  /** Another owner's record stands at the second place, or a fence does. */
-  #adopt(intent: IntentEntry, { decision }: Placed): RunResult {
+  /** The backup holds a record of another owner, or has been fenced. */
+  #resolveRejected(
+    intent: IntentEntry,
+    { decision }: BackupReceipt,
+  ): RunResult {
     const { state, answer } = decision;
     if (state === "refused") {
       return this.#refuse(
         intent,
-        this.#never(intent, "another answers for it"),
+        this.#notRun(intent, "another instance has fenced it"),
       );
     }
     const conclusion: Conclusion = state === "answered"
       ? { state, answer }
       : { state: "unknown" };
     this.#conclude(intent, conclusion);
-    return verdictOf(decision, intent.fingerprint);
+    return resultOf(decision, intent.fingerprint);
   }
 
-  /** At a home that a token names this is for good; at a seat, for now. */
-  #never(intent: IntentEntry, reason: string): RunResult {
-    return intent.seat === undefined ? refused(reason) : notNow(reason);
+  /** Final at a token's home; at a seat, only this attempt is refused. */
+  #notRun(intent: IntentEntry, reason: string): RunResult {
+    return intent.seat === undefined ? refused(reason) : unavailable(reason);
   }
 
-  #refuse(intent: IntentEntry, result: RunResult, place?: Place): RunResult {
-    this.#conclude(intent, { state: "refused" }, place);
+  #refuse(
+    intent: IntentEntry,
+    result: RunResult,
+    replica?: Replica,
+  ): RunResult {
+    this.#conclude(intent, { state: "refused" }, replica);
     this.#deps.metrics.count("operations.refused");
     return result;
   }
 
-  #conclude(intent: IntentEntry, conclusion: Conclusion, place?: Place): void {
+  #conclude(
+    intent: IntentEntry,
+    conclusion: Conclusion,
+    replica?: Replica,
+  ): void {
     const { ledger, clock, seconds } = this.#deps;
     const { name, run } = intent;
     ledger.conclude(name, run, { conclusion, now: clock.now() });
-    if (place === undefined) return;
+    if (replica === undefined) return;
     const { answer } = ledger.view(name);
-    const told = conclusion.state === "answered"
+    const concluded = conclusion.state === "answered"
       ? { ...conclusion, answer }
       : conclusion;
-    void seconds.conclude(place, { name, run, conclusion: told });
+    void seconds.conclude(replica, { name, run, conclusion: concluded });
   }
 }
 
@@ -202,15 +216,15 @@
   return { state: notRun ? "refused" : "unknown" };
 }
 
-function noSecondPlace(failure: Failure): RunResult {
+function backupUnavailable(failure: Failure): RunResult {
   return fail("peer_unavailable", failure.message, {
     outcome: "not-run",
     retryAfterMs: RETRY_AFTER_MS,
   });
 }
 
-function overflow(): RunResult {
-  return fail("no_capacity", "no more operations can be remembered here", {
+function ledgerFull(): RunResult {
+  return fail("no_capacity", "the operation ledger is full or closed", {
     outcome: "not-run",
     retryAfterMs: RETRY_AFTER_MS,
   });
--- a/src/operations/refused_attempts.ts
+++ b/src/operations/refused_attempts.ts
@@ -1,32 +1,32 @@
 /**
- * Attempts that were answered "not run". A message that carries one of them
- * may arrive once more; run then, it would make that answer false.
+ * Attempts that were answered "not run". A duplicate of such a message may
+ * arrive later; running it would make that answer false.
  *
  * @module
  */
 import type { ForwardResponse } from "../gen/ledger_pb.ts";
 
-interface Refused {
+interface RefusedAttempt {
   readonly answer: ForwardResponse;
   readonly expiresAt: number;
 }
 
-/** Longer than any message between instances can be under way. */
-const KEPT_MS = 60_000;
+/** Longer than any message between instances can be in transit. */
+const RETENTION_MS = 60_000;
 
-/** Remembers answers to refused attempts, by attempt. */
+/** Stores the responses to refused attempts, by attempt id. */
 export class RefusedAttempts {
-  readonly #refused = new Map<string, Refused>();
+  readonly #refused = new Map<string, RefusedAttempt>();
 
   add(attempt: string, answer: ForwardResponse, now: number): void {
-    this.#refused.set(attempt, { answer, expiresAt: now + KEPT_MS });
+    this.#refused.set(attempt, { answer, expiresAt: now + RETENTION_MS });
   }
 
   find(attempt: string): ForwardResponse | undefined {
     return this.#refused.get(attempt)?.answer;
   }
 
-  /** All are kept equally long, so the first that stays ends the sweep. */
+  /** Entries share one retention, so the first unexpired one ends the scan. */
   expire(now: number): void {
     for (const [attempt, refused] of this.#refused) {
       if (refused.expiresAt > now) return;
--- a/src/operations/verdict.ts
+++ b/src/operations/run_results.ts
@@ -1,5 +1,5 @@
 /**
- * What a caller is told of an operation that somebody has a record of.
+ * What a caller receives for an operation that has a record.
  *
  * @module
  */
@@ -8,29 +8,29 @@
 import type { RecordView } from "./ledger.ts";
 import type { RunResult } from "./operations.ts";
 
-/** When a caller that was refused may come back, in milliseconds. */
+/** Delay before a refused caller should retry, in milliseconds. */
 export const RETRY_AFTER_MS = 1_000;
 
 /**
- * The answer that a record allows.
+ * The result that follows from a record.
  *
  * @example
  * ```ts
- * const result = verdictOf(ledger.view(name), req.fingerprint);
+ * const result = resultOf(ledger.view(name), req.fingerprint);
  * ```
  */
-export function verdictOf(view: RecordView, fingerprint: string): RunResult {
+export function resultOf(view: RecordView, fingerprint: string): RunResult {
   if (view.fingerprint !== "" && view.fingerprint !== fingerprint) {
-    return mismatch();
+    return idReused();
   }
   if (view.state === "refused") return refused("refused at this home");
   if (view.state !== "answered") return unknown("may have run");
   if (view.answer) return ok(view.answer);
-  return unknown("ran, but its answer was too large to be kept");
+  return unknown("ran, but its answer was too large to record");
 }
 
-/** One id was used for two requests; this one did not run. */
-export function mismatch(): RunResult {
+/** The id was already used for another request; this one did not run. */
+export function idReused(): RunResult {
   return fail("bad_request", "the operation id was used for another request", {
     outcome: "not-run",
   });
@@ -44,15 +44,15 @@
   });
 }
 
-/** This attempt did not run; of earlier ones nothing is said. */
-export function notNow(reason: string): RunResult {
+/** This attempt did not run; earlier ones may have. */
+export function unavailable(reason: string): RunResult {
   return fail("peer_unavailable", `this attempt was not run: ${reason}`, {
     outcome: "not-run",
     retryAfterMs: RETRY_AFTER_MS,
   });
 }
 
-/** Nobody can say whether the operation ran. */
+/** It cannot be determined whether the operation ran. */
 export function unknown(reason: string): RunResult {
   return fail("outcome_unknown", `the operation ${reason}`, {
     outcome: "unknown",
--- a/src/operations/seat_homes_test.ts
+++ b/src/operations/seat_home_router_test.ts
@@ -2,18 +2,18 @@
 import type { InstanceId, ZoneId } from "../core/mod.ts";
 import { EntryKind } from "../gen/ledger_pb.ts";
 import { SeatSet } from "./home_seat.ts";
-import { answerOf, FakeFleet, told } from "./testing/fake_fleet.ts";
+import { answerOf, FakeFleet, resultText } from "./testing/fake_fleet.ts";
 
 const ID = "op";
 
 interface Setup {
   readonly fleet: FakeFleet;
   readonly owner: string;
-  readonly mate: string;
-  readonly far: string;
+  readonly zonePeer: string;
+  readonly otherZone: string;
 }
 
-/** Who holds the seat that is an id's home. */
+/** The holder of the seat that is an id's home. */
 function holderOf(fleet: FakeFleet, id: string): string {
   const seat = new SeatSet(fleet.zones).homeOf({ account: "a1", id });
   return fleet.seats.find((s) =>
@@ -22,34 +22,36 @@
     ?.holder ?? "";
 }
 
-/** A fleet that knows itself, and how its nodes stand to the id's home. */
+/** A fleet after gossip, with nodes by their relation to the id's home. */
 async function makeSetup(): Promise<Setup> {
   const fleet = new FakeFleet();
-  await fleet.pass(1_500);
+  await fleet.advance(1_500);
   const owner = holderOf(fleet, ID);
   const names = [...fleet.nodes.keys()];
   const { zone } = fleet.node(owner);
-  const mate = names.find((n) => n !== owner && fleet.node(n).zone === zone);
-  const far = names.find((n) => fleet.node(n).zone !== zone);
-  return { fleet, owner, mate: mate ?? "", far: far ?? "" };
+  const zonePeer = names.find((n) =>
+    n !== owner && fleet.node(n).zone === zone
+  );
+  const otherZone = names.find((n) => fleet.node(n).zone !== zone);
+  return { fleet, owner, zonePeer: zonePeer ?? "", otherZone: otherZone ?? "" };
 }
 
 /**
- * A caller without the library places a hold and gets no answer, since the
- * holder of its home seat died at some point. The seat passes to a zone-mate;
- * the caller repeats the hold there. It must not be placed twice, and the mate
- * must not say "not run" of a hold that stands.
+ * A caller without the library places a hold and gets no answer, because the
+ * holder of its home seat crashed. The seat moves to an instance of the same
+ * zone, where the caller retries. The hold must not be placed twice, and a
+ * placed hold must not be reported as "not run".
  */
 const HOLDER_DIES: {
   at: string;
-  arm: (s: Setup) => void;
-  alsoDies?: "far" | "mate";
+  inject: (s: Setup) => void;
+  alsoCrashes?: "far" | "mate";
   retry: string;
   runs: number;
 }[] = [
   {
     at: "before its intent was recorded",
-    arm: ({ fleet, owner }) => {
+    inject: ({ fleet, owner }) => {
       fleet.onMessage = (m) => {
         if (m.stage !== "request" || !m.entries.includes(EntryKind.INTENT)) {
           return "deliver";
@@ -64,7 +66,7 @@
   },
   {
     at: "after dispatch",
-    arm: ({ fleet, owner }) => {
+    inject: ({ fleet, owner }) => {
       fleet.onDispatch = (d) => {
         if (d.by === owner) fleet.kill(owner);
         return Promise.resolve(answerOf(d.attempt));
@@ -75,7 +77,7 @@
   },
   {
     at: "after its answer was recorded",
-    arm: ({ fleet, owner }) => {
+    inject: ({ fleet, owner }) => {
       fleet.onMessage = (m) => {
         const answered = m.stage === "answer" &&
           m.entries.includes(EntryKind.ANSWER);
@@ -87,74 +89,74 @@
     runs: 1,
   },
   {
-    at: "after dispatch, and its whole other zone",
-    arm: ({ fleet, owner }) => {
+    at: "after dispatch, with the whole other zone",
+    inject: ({ fleet, owner }) => {
       fleet.onDispatch = (d) => {
         if (d.by === owner) fleet.kill(owner);
         return Promise.resolve(answerOf(d.attempt));
       };
     },
-    alsoDies: "far",
+    alsoCrashes: "far",
     retry: "unknown",
     runs: 1,
   },
 ];
 
-for (const { at, arm, alsoDies, retry, runs } of HOLDER_DIES) {
-  test(`seat's holder dies ${at}; retry at the next holder`, async (t) => {
+for (const { at, inject, alsoCrashes, retry, runs } of HOLDER_DIES) {
+  test(`seat's holder crashes ${at}; retry at the next holder`, async (t) => {
     const setup = await makeSetup();
-    const { fleet, owner, mate, far } = setup;
-    arm(setup);
+    const { fleet, owner, zonePeer, otherZone } = setup;
+    inject(setup);
     fleet.send(owner, { id: ID });
-    await fleet.pass(500);
-    if (alsoDies === "far") {
-      const { zone } = fleet.node(far);
+    await fleet.advance(500);
+    if (alsoCrashes === "far") {
+      const { zone } = fleet.node(otherZone);
       for (const n of fleet.nodes.values()) {
         if (n.zone === zone) n.alive = false;
       }
     }
     fleet.kill(owner);
-    await fleet.pass(5_000);
-    fleet.moveSeats(owner, mate);
-    await fleet.pass(200);
-    const again = fleet.send(mate, { id: ID });
-    await fleet.pass(3_000);
-    t.is(told(again), retry);
+    await fleet.advance(5_000);
+    fleet.moveSeats(owner, zonePeer);
+    await fleet.advance(200);
+    const again = fleet.send(zonePeer, { id: ID });
+    await fleet.advance(3_000);
+    t.is(resultText(again), retry);
     t.is(fleet.dispatches.length, runs);
     t.deepEqual(fleet.violations(), []);
   });
 }
 
 /**
- * The home's holder is gone and nobody has its seat yet. A new request is
- * surely not run; a repeated one may have run, and being told "not run" its
- * caller would place the order again under another id.
+ * The home's holder is gone and its seat has no new holder yet. A new request
+ * certainly did not run; a repeated one may have, and if it is told "not run",
+ * its caller places the order again under another id.
  */
-test("without a home, only a new id is told not-run", async (t) => {
-  const { fleet, owner, mate, far } = await makeSetup();
+test("without a home, only a new id is reported not-run", async (t) => {
+  const { fleet, owner, zonePeer, otherZone } = await makeSetup();
   fleet.onDispatch = (d) => {
     fleet.kill(owner);
     return Promise.resolve(answerOf(d.attempt));
   };
   fleet.send(owner, { id: ID });
-  await fleet.pass(200);
-  const again = fleet.send(far, { id: ID });
+  await fleet.advance(200);
+  const again = fleet.send(otherZone, { id: ID });
   const id =
     Array.from({ length: 99 }, (_, i) => `n${i}`).find((n) =>
       holderOf(fleet, n) === owner
     ) ?? "";
-  const fresh = fleet.send(mate, { id });
-  await fleet.pass(1_000);
-  t.deepEqual([told(again), told(fresh)], ["unknown", "not-run"]);
+  const fresh = fleet.send(zonePeer, { id });
+  await fleet.advance(1_000);
+  t.deepEqual([resultText(again), resultText(fresh)], ["unknown", "not-run"]);
   t.deepEqual(fleet.violations(), []);
 });
 
 /**
- * A holder is paused while its seat passes on. When it goes on with an intent
- * of its old epoch, the new holder has run the id already.
+ * A holder is paused while its seat moves. When it resumes with an intent of
+ * its old epoch, the new holder has already run the id.
  */
-test("a paused holder of an earlier epoch is shut out", async (t) => {
-  const { fleet, owner, mate } = await makeSetup();
+test("a paused holder of an earlier epoch is fenced off", async (t) => {
+  const { fleet, owner, zonePeer } = await makeSetup();
   let paused = false;
   fleet.onMessage = (m) => {
     if (!paused && m.entries.includes(EntryKind.INTENT)) {
@@ -165,140 +167,144 @@
     return "deliver";
   };
   const first = fleet.send(owner, { id: ID });
-  await fleet.pass(5_000);
-  fleet.moveSeats(owner, mate);
-  await fleet.pass(200);
-  const again = fleet.send(mate, { id: ID });
-  await fleet.pass(2_000);
+  await fleet.advance(5_000);
+  fleet.moveSeats(owner, zonePeer);
+  await fleet.advance(200);
+  const again = fleet.send(zonePeer, { id: ID });
+  await fleet.advance(2_000);
   fleet.node(owner).resume();
-  await fleet.pass(2_000);
-  t.is(told(again), "done by 1");
-  t.not(told(first), "done by 0");
+  await fleet.advance(2_000);
+  t.is(resultText(again), "done by 1");
+  t.not(resultText(first), "done by 0");
   t.is(fleet.dispatches.length, 1);
   t.deepEqual(fleet.violations(), []);
 });
 
 /**
  * Two instances are lost within minutes, and a third takes a seat over. Both
- * records of a hold may be gone with them, so nobody can say it was not placed.
+ * records of a hold may be gone, so it cannot be reported as not placed.
  */
 test("after two losses an id of an old seat is unknown", async (t) => {
-  const { fleet, owner, mate, far } = await makeSetup();
-  fleet.kill(far);
-  await fleet.pass(4_000);
+  const { fleet, owner, zonePeer, otherZone } = await makeSetup();
+  fleet.kill(otherZone);
+  await fleet.advance(4_000);
   fleet.kill(owner);
-  await fleet.pass(4_000);
-  fleet.moveSeats(owner, mate);
-  await fleet.pass(200);
-  const asked = fleet.send(mate, { id: ID });
-  await fleet.pass(1_000);
-  t.is(told(asked), "unknown");
+  await fleet.advance(4_000);
+  fleet.moveSeats(owner, zonePeer);
+  await fleet.advance(200);
+  const asked = fleet.send(zonePeer, { id: ID });
+  await fleet.advance(1_000);
+  t.is(resultText(asked), "unknown");
   t.deepEqual(fleet.dispatches, []);
 });
 
 /**
- * Messages between instances are lost, so one that has just started knows of a
- * place only by what the others say. That place holds the record of an order,
- * and its owner leaves. The newcomer takes the seat over, asks everybody it
- * knows, and the order of a caller that repeats it would be placed twice.
+ * Messages between instances are lost, so a new instance knows a replica only
+ * from the reports of others. That replica holds the record of an order whose
+ * owner leaves. If the new instance takes the seat over and does not query that
+ * replica, the order is placed twice when its caller retries.
  */
-test("a newcomer does not take for new what an unheard place may know", async (t) => {
+test("a new instance does not run an id that an unknown replica may have recorded", async (t) => {
   const { fleet, owner } = await makeSetup();
-  let second = "";
+  let backup = "";
   fleet.onMessage = ({ entries, to }) => {
-    if (entries.includes(EntryKind.INTENT)) second = to;
+    if (entries.includes(EntryKind.INTENT)) backup = to;
     return "deliver";
   };
   const first = fleet.send(owner, { id: ID });
-  await fleet.pass(300);
+  await fleet.advance(300);
   const { zone, region } = fleet.node(owner);
   fleet.start("newcomer", { zone, region });
-  fleet.cut("newcomer", second);
-  await fleet.pass(1_500);
+  fleet.cut("newcomer", backup);
+  await fleet.advance(1_500);
   fleet.node(owner).leaving = true;
-  await fleet.pass(100);
-  const handed = fleet.node(owner).operations.handOver();
-  await fleet.pass(300);
-  t.true(await handed);
+  await fleet.advance(100);
+  const handedOver = fleet.node(owner).operations.handOver();
+  await fleet.advance(300);
+  t.true(await handedOver);
   fleet.kill(owner);
   fleet.moveSeats(owner, "newcomer");
-  await fleet.pass(200);
+  await fleet.advance(200);
   const again = fleet.send("newcomer", { id: ID });
-  await fleet.pass(1_000);
-  t.deepEqual([first, again].map(told), ["done by 0", "unknown"]);
+  await fleet.advance(1_000);
+  t.deepEqual([first, again].map(resultText), ["done by 0", "unknown"]);
   t.deepEqual(fleet.violations(), []);
 });
 
 /**
- * A single instance without any peer records in the store, and the store goes
- * down. Dispatching without a second record would make the next crash a
- * doubled run, so it refuses until the store is back.
+ * A single instance without peers records in the store, and the store goes
+ * down. Dispatching without a second record would let the next crash cause a
+ * double run, so it refuses until the store is back.
  */
-test("a lone instance uses the store as second place", async (t) => {
+test("a lone instance uses the store as backup", async (t) => {
   const fleet = new FakeFleet({ zones: [["r1", "r1-a"]], perZone: 1 });
-  await fleet.pass(200);
+  await fleet.advance(200);
   const home = fleet.node("r1-a-1").operations.homeOf("r1-a-1");
   const first = fleet.send("r1-a-1", { id: "1", home });
   const plain = fleet.send("r1-a-1", { id: "2" });
-  await fleet.pass(300);
-  t.deepEqual([first, plain].map(told), ["done by 0", "done by 1"]);
+  await fleet.advance(300);
+  t.deepEqual([first, plain].map(resultText), ["done by 0", "done by 1"]);
   fleet.platformDown = true;
   const refused = fleet.send("r1-a-1", { id: "3", home });
-  await fleet.pass(300);
+  await fleet.advance(300);
   fleet.platformDown = false;
-  await fleet.pass(3_000);
+  await fleet.advance(3_000);
   const later = fleet.send("r1-a-1", { id: "4", home });
-  await fleet.pass(300);
-  t.deepEqual([refused, later].map(told), ["not-run", "done by 3"]);
+  await fleet.advance(300);
+  t.deepEqual([refused, later].map(resultText), ["not-run", "done by 3"]);
 });
 
 /**
- * The lone owner dies and another instance, which reaches the store, is asked
- * in its stead. An owner that was only paused finds its object closed.
+ * The only owner stops and another instance that reaches the store answers on
+ * its behalf. An owner that was only paused finds its object closed.
  */
-test("the store answers and fences in a lone owner's stead", async (t) => {
+test("the store answers and fences on behalf of a lone owner", async (t) => {
   const fleet = new FakeFleet({ zones: [["r1", "r1-a"]], perZone: 1 });
-  await fleet.pass(200);
+  await fleet.advance(200);
   const lone = fleet.node("r1-a-1");
   const home = lone.operations.homeOf("r1-a-1");
   fleet.send("r1-a-1", { id: "ran", home });
-  await fleet.pass(300);
+  await fleet.advance(300);
   lone.pause();
   const asker = fleet.start("r2-a-1", { zone: "r2-a", region: "r2" });
-  await fleet.pass(200);
+  await fleet.advance(200);
   const ran = fleet.send(asker.name, { id: "ran", home });
   const fresh = fleet.send(asker.name, { id: "new", home });
-  await fleet.pass(300);
+  await fleet.advance(300);
   lone.resume();
   const late = fleet.send("r1-a-1", { id: "new", home });
-  await fleet.pass(300);
-  t.deepEqual([ran, fresh, late].map(told), ["unknown", "not-run", "not-run"]);
+  await fleet.advance(300);
+  t.deepEqual([ran, fresh, late].map(resultText), [
+    "unknown",
+    "not-run",
+    "not-run",
+  ]);
   t.deepEqual(fleet.dispatches.map((d) => d.id), ["ran"]);
 });
 
 /**
- * Every instance is replaced one after another, each gracefully. Retries come
- * with tokens of instances that are long gone and must find their records.
+ * Every instance is replaced in turn, gracefully. Retries with tokens of
+ * instances that have left must still find their records.
  */
 test("records outlive a rolling replacement", async (t) => {
   const fleet = new FakeFleet();
-  await fleet.pass(1_500);
+  await fleet.advance(1_500);
   const names = [...fleet.nodes.keys()];
   const homes = names.map((n) => fleet.node(n).operations.homeOf(n));
   homes.forEach((home, i) => fleet.send(names[i] ?? "", { id: `t${i}`, home }));
   names.forEach((n, i) => fleet.send(n, { id: `p${i}` }));
-  await fleet.pass(500);
+  await fleet.advance(500);
   for (const name of names) {
     const node = fleet.node(name);
     node.leaving = true;
-    await fleet.pass(300);
-    const handed = node.operations.handOver();
-    await fleet.pass(500);
-    t.true(await handed);
+    await fleet.advance(300);
+    const handedOver = node.operations.handOver();
+    await fleet.advance(500);
+    t.true(await handedOver);
     fleet.kill(name);
     fleet.start(name, node);
     fleet.moveSeats(name, name);
-    await fleet.pass(500);
+    await fleet.advance(500);
   }
   const before = fleet.dispatches.length;
   const again = names.flatMap((n, i) => [
@@ -308,25 +314,30 @@
   const fresh = homes.map((home, i) =>
     fleet.send(names[i] ?? "", { id: `f${i}`, home })
   );
-  await fleet.pass(1_000);
-  t.deepEqual(again.map(told).filter((w) => !w.startsWith("done")), []);
-  // An heir that never heard the owner cannot tell how old its token is.
-  t.deepEqual(fresh.map(told), ["unknown", "unknown", "not-run", "not-run"]);
+  await fleet.advance(1_000);
+  t.deepEqual(again.map(resultText).filter((w) => !w.startsWith("done")), []);
+  // Without gossip from the owner a successor cannot tell the token's age.
+  t.deepEqual(fresh.map(resultText), [
+    "unknown",
+    "unknown",
+    "not-run",
+    "not-run",
+  ]);
   t.is(fleet.dispatches.length, before);
   t.deepEqual(fleet.violations(), []);
 });
 
 /**
- * An operator gives a zone one more instance. Some ids get another home by
- * that, and a retry would run there as if it were new.
+ * An operator adds an instance to a zone. The home of some ids changes, and a
+ * retry must not run there as if it were new.
  */
 test("an id whose home moved with the seats is not run again", async (t) => {
   const fleet = new FakeFleet();
-  await fleet.pass(1_500);
+  await fleet.advance(1_500);
   const ids = Array.from({ length: 12 }, (_, i) => `m${i}`);
   const before = ids.map((id) => holderOf(fleet, id));
   ids.forEach((id) => fleet.send("r1-a-1", { id }));
-  await fleet.pass(300);
+  await fleet.advance(300);
   const added = fleet.start("r1-b-3", { zone: "r1-b", region: "r1" });
   fleet.adopt(
     fleet.zones.map((z) => z.zone === "r1-b" ? { ...z, instances: 3 } : z),
@@ -338,10 +349,10 @@
     incarnation: added.incarnation,
     epoch: 1,
   });
-  await fleet.pass(1_500);
+  await fleet.advance(1_500);
   const again = ids.map((id) => fleet.send("r1-a-1", { id }));
-  await fleet.pass(1_000);
+  await fleet.advance(1_000);
   t.true(ids.some((id, i) => holderOf(fleet, id) !== before[i]));
-  t.deepEqual(again.map(told), ids.map((_, i) => `done by ${i}`));
+  t.deepEqual(again.map(resultText), ids.map((_, i) => `done by ${i}`));
   t.deepEqual(fleet.violations(), []);
 });
--- a/src/operations/seat_recovery.ts
+++ b/src/operations/seat_recovery.ts
@@ -1,71 +1,71 @@
 /**
- * What a seat's new holder has to ask before it runs an id that it has no
- * record of.
+ * The queries that a seat's new holder makes before it runs an id without a
+ * record.
  *
- * The earlier holder may have run the id and recorded it at any instance of
- * the region. Were one of them left out, a hold on a lot would be placed
+ * The previous holder may have run the id and recorded it at any instance of
+ * the region. If one of them were not queried, a hold on a lot would be placed
  * twice when its caller retries after the change of holders.
  *
  * @module
  */
 import type { Clock } from "../core/mod.ts";
 import type { SeatDirectory } from "../membership/mod.ts";
-import { fenceEntry, resultFromWire } from "./codec.ts";
-import { type Place, publicIncarnation } from "./home_token.ts";
+import { decisionFromWire, fenceEntry } from "./codec.ts";
+import { publicIncarnation, type Replica } from "./home_token.ts";
 import type { Ledger, OperationName, RecordView, SeatEpoch } from "./ledger.ts";
-import type { KnownPlace, PlaceTable, Vicinity } from "./places.ts";
-import type { RegionHistory } from "./region_history.ts";
+import type { Locality, PeerReplica, ReplicaTable } from "./replica_table.ts";
+import type { DepartureHistory } from "./departure_history.ts";
 import type { SettleQueue } from "./settle_queue.ts";
-import type { StorePlace } from "./store_place.ts";
+import type { StoreBackup } from "./store_backup.ts";
 
-/** What a recovery needs. */
+/** Dependencies of seat recovery. */
 export interface SeatRecoveryDeps {
-  readonly self: Place & Vicinity;
+  readonly self: Replica & Locality;
   readonly clock: Clock;
   readonly seats: SeatDirectory;
   readonly ledger: Ledger;
-  readonly places: PlaceTable;
-  readonly history: RegionHistory;
+  readonly replicas: ReplicaTable;
+  readonly history: DepartureHistory;
   readonly queue: SettleQueue;
-  readonly store: StorePlace;
+  readonly store: StoreBackup;
 }
 
-/** What the others know of an id. */
-export type Recovered =
+/** What the queried replicas have recorded of an id. */
+export type RecoveryResult =
   | { readonly kind: "known"; readonly view: RecordView }
-  /** Nobody knows it, and all who could were asked. */
+  /** No replica has a record, and all that could have one were queried. */
   | { readonly kind: "clear" }
   | { readonly kind: "incomplete" };
 
-interface Asked {
-  readonly place: KnownPlace;
+interface RecoveryReply {
+  readonly replica: PeerReplica;
   readonly view: RecordView | undefined;
   readonly historyMs: number;
   readonly lost: readonly string[];
-  /** Whom that place knows to be there. */
+  /** Incarnations that this replica considers present. */
   readonly heard: readonly string[];
 }
 
 /**
- * An operation is recorded twice, so one lost instance leaves a record of each
- * at another one. With two lost, both records may be gone.
+ * Each operation is recorded twice, so after the loss of one instance the other
+ * record remains. After the loss of two, both may be gone.
  */
-const MAX_LOST = 1;
+const MAX_UNANSWERED = 1;
 
-/** Asks the region about ids of a seat's earlier epochs. */
+/** Queries the region for ids of a seat's earlier epochs. */
 export class SeatRecovery {
   readonly #deps: SeatRecoveryDeps;
   readonly #heldSince = new Map<string, number>();
-  /** Seats whose first holder ever is covered by what is known here. */
-  readonly #firstSeen = new Set<string>();
+  /** Seats whose first holder is this instance or sent its member list. */
+  readonly #firstHoldersSeen = new Set<string>();
 
   constructor(deps: SeatRecoveryDeps) {
     this.#deps = deps;
   }
 
-  /** Notes who holds which seat, and since when; to be run each tick. */
+  /** Tracks seat holders and own seats; to be called on each tick. */
   sweep(now: number): void {
-    this.#noteFirstHolders();
+    this.#recordFirstHolders();
     const held = new Set(this.#deps.seats.held(now).map(seatKey));
     for (const key of this.#heldSince.keys()) {
       if (!held.has(key)) this.#heldSince.delete(key);
@@ -76,32 +76,32 @@
   }
 
   /**
-   * A young fleet has no long history. A seat's second holder can still know
-   * everybody that the first one used, if the first was heard here.
+   * A new fleet has no long history. A seat's second holder still has every
+   * instance that the first could use, if it received that one's member list.
    */
   #sawAllHolders(seat: SeatEpoch): boolean {
     return seat.epoch <= 2 &&
-      this.#firstSeen.has(seatKey({ ...seat, epoch: 1 }));
+      this.#firstHoldersSeen.has(seatKey({ ...seat, epoch: 1 }));
   }
 
-  #noteFirstHolders(): void {
-    const { seats, places, history, self } = this.#deps;
+  #recordFirstHolders(): void {
+    const { seats, replicas, history, self } = this.#deps;
     for (const seat of seats.entries()) {
       if (seat.epoch !== 1 || seat.holder === undefined) continue;
-      if (this.#firstSeen.has(seatKey(seat))) continue;
+      if (this.#firstHoldersSeen.has(seatKey(seat))) continue;
       const holder = seat.holder === self.instance
         ? self
-        : places.named(seat.holder);
+        : replicas.byInstance(seat.holder);
       if (holder === undefined || !history.covers(holder.incarnation)) continue;
       const other = seat.incarnation !== "" &&
         publicIncarnation(seat.incarnation) !== holder.incarnation;
       if (other) continue;
-      this.#firstSeen.add(seatKey(seat));
+      this.#firstHoldersSeen.add(seatKey(seat));
     }
   }
 
-  /** Whether an earlier holder's operations may still be retried. */
-  needed(seat: SeatEpoch): boolean {
+  /** Whether operations of an earlier holder may still be retried. */
+  isNeeded(seat: SeatEpoch): boolean {
     if (seat.epoch <= 1) return false;
     const { clock, ledger } = this.#deps;
     const now = clock.now();
@@ -109,44 +109,49 @@
     return now - since < ledger.limits.retentionMs;
   }
 
-  /** Asks everybody who could know the id; shuts out earlier holders. */
-  async ask(name: OperationName, seat: SeatEpoch): Promise<Recovered> {
+  /** Queries all that could have a record, and fences off earlier holders. */
+  async query(name: OperationName, seat: SeatEpoch): Promise<RecoveryResult> {
     const { ledger, clock } = this.#deps;
     const here = ledger.fence(name, { seat, now: clock.now() });
     if (here.state !== "none") return { kind: "known", view: here };
     const region = this.#regionOf(seat.zone);
-    const asked = await Promise.all(
-      this.#placesOf(region).map((place) => this.#askPlace(place, name, seat)),
+    const replies = await Promise.all(
+      this.#replicasIn(region).map((replica) =>
+        this.#queryReplica(replica, name, seat)
+      ),
     );
-    const known = asked.flatMap(({ view }) => view ? [view] : [])
+    const known = replies.flatMap(({ view }) => view ? [view] : [])
       .filter((view) => view.state !== "none")
-      .sort((a, b) => rank(b) - rank(a))[0];
+      .sort((a, b) => statePriority(b) - statePriority(a))[0];
     if (known) return { kind: "known", view: known };
-    return await this.#judge(asked, { name, region, seat });
+    return await this.#evaluate(replies, { name, region, seat });
   }
 
-  async #judge(
-    asked: readonly Asked[],
+  async #evaluate(
+    replies: readonly RecoveryReply[],
     { name, region, seat }: {
       name: OperationName;
       region: string;
       seat: SeatEpoch;
     },
-  ): Promise<Recovered> {
+  ): Promise<RecoveryResult> {
     const { history, ledger, self, store } = this.#deps;
-    const answered = asked.filter((a) => a.view !== undefined);
+    const answered = replies.filter((a) => a.view !== undefined);
     const here = region === self.region;
     const histories = answered.map((a) => a.historyMs);
     if (here) histories.push(history.lengthMs);
-    const missing = this.#missing(asked, here);
-    const tooFew = Math.max(0, ...histories) < ledger.limits.retentionMs &&
+    const unanswered = this.#unanswered(replies, here);
+    const historyTooShort =
+      Math.max(0, ...histories) < ledger.limits.retentionMs &&
       !this.#sawAllHolders(seat);
-    const heirLost = missing.some((m) => history.isHeir(m));
-    if (tooFew || heirLost || missing.length > MAX_LOST) {
+    const successorMissing = unanswered.some((m) => history.isSuccessor(m));
+    if (
+      historyTooShort || successorMissing || unanswered.length > MAX_UNANSWERED
+    ) {
       return { kind: "incomplete" };
     }
-    for (const incarnation of missing) {
-      const view = await store.ask(incarnation, name);
+    for (const incarnation of unanswered) {
+      const view = await store.fence(incarnation, name);
       if (view.state === "refused") continue;
       if (view.state === "unknown") return { kind: "incomplete" };
       return { kind: "known", view };
@@ -155,58 +160,58 @@
   }
 
   /**
-   * Incarnations that did not answer, or that somebody says were lost or are
-   * there. The last matter where messages are lost: a newcomer may have heard
-   * nothing yet of the very place that holds the record, and an operation
-   * would run twice for want of one question.
+   * Incarnations that did not answer, or that any replica reports as lost or
+   * present. Present ones matter when messages are lost: a new instance may not
+   * have received any gossip from the replica that holds the record, and the
+   * operation would run twice because that replica was not queried.
    */
-  #missing(asked: readonly Asked[], here: boolean): string[] {
+  #unanswered(replies: readonly RecoveryReply[], here: boolean): string[] {
     const { history, self } = this.#deps;
     const answered = new Set([self.incarnation]);
-    const named = here ? [...history.lost(), ...history.present()] : [];
-    for (const { place, view, lost, heard } of asked) {
-      if (view !== undefined) answered.add(place.incarnation);
-      named.push(place.incarnation, ...lost, ...heard);
+    const expected = here ? [...history.lost(), ...history.present()] : [];
+    for (const { replica, view, lost, heard } of replies) {
+      if (view !== undefined) answered.add(replica.incarnation);
+      expected.push(replica.incarnation, ...lost, ...heard);
     }
-    // Who left in good order is answered for by its heir.
-    const holders = named.map((incarnation) =>
+    // The successor answers for an incarnation that left gracefully.
+    const resolved = expected.map((incarnation) =>
       history.resolve({ instance: "", incarnation }).incarnation
     );
-    return [...new Set(holders)].filter((i) => !answered.has(i));
+    return [...new Set(resolved)].filter((i) => !answered.has(i));
   }
 
-  async #askPlace(
-    place: KnownPlace,
+  async #queryReplica(
+    replica: PeerReplica,
     name: OperationName,
     seat: SeatEpoch,
-  ): Promise<Asked> {
-    const settled = await this.#deps.queue.send(
-      place,
+  ): Promise<RecoveryReply> {
+    const reply = await this.#deps.queue.send(
+      replica,
       fenceEntry(name, { seat }),
     );
-    if (settled.isErr()) {
-      return { place, view: undefined, historyMs: 0, lost: [], heard: [] };
+    if (reply.isErr()) {
+      return { replica, view: undefined, historyMs: 0, lost: [], heard: [] };
     }
-    const { result, response } = settled.value;
+    const { result, response } = reply.value;
     const { historyMs, lost, heard } = response;
-    return { place, view: resultFromWire(result), historyMs, lost, heard };
+    return { replica, view: decisionFromWire(result), historyMs, lost, heard };
   }
 
-  #placesOf(region: string): KnownPlace[] {
-    const { history, places } = this.#deps;
-    return places.all().filter((p) =>
+  #replicasIn(region: string): PeerReplica[] {
+    const { history, replicas } = this.#deps;
+    return replicas.all().filter((p) =>
       p.region === region && history.resolve(p) === p
     );
   }
 
   #regionOf(zone: string): string {
-    const { places, self } = this.#deps;
+    const { replicas, self } = this.#deps;
     if (zone === self.zone) return self.region;
-    return places.all().find((p) => p.zone === zone)?.region ?? "";
+    return replicas.all().find((p) => p.zone === zone)?.region ?? "";
   }
 }
 
-function rank(view: RecordView): number {
+function statePriority(view: RecordView): number {
   return ["none", "refused", "intent", "unknown", "answered"]
     .indexOf(view.state);
 }
--- a/src/operations/seat_sets.ts
+++ b/src/operations/seat_set_history.ts
@@ -1,8 +1,8 @@
 /**
- * The seat sets of the last documents.
+ * The seat sets of recent documents.
  *
- * When a document adds or takes away seats, some ids get another home. The
- * earlier home may have run them, so the new one has to know which it was.
+ * When a document adds or removes seats, the home of some ids changes. The
+ * previous home may have run them, so the new one has to know which it was.
  *
  * @module
  */
@@ -15,44 +15,44 @@
   type ZoneSeats,
 } from "./home_seat.ts";
 
-interface Earlier {
+interface PreviousSeatSet {
   readonly set: SeatSet;
   readonly until: number;
 }
 
-/** An id's home, and where it was before the seats changed. */
+/** An id's home, and its homes before the seats changed. */
 export interface SeatHome {
   readonly seat: Seat | undefined;
-  readonly moved: readonly Seat[];
+  readonly previousSeats: readonly Seat[];
   /** When the seats last changed. */
   readonly changedAt: number;
 }
 
-/** What seat sets need. */
-export interface SeatSetsDeps {
+/** Dependencies of the seat set history. */
+export interface SeatSetHistoryDeps {
   readonly clock: Clock;
   readonly retentionMs: number;
 }
 
-/** Finds homes, and remembers seat sets for as long as records live. */
-export class SeatSets {
-  readonly #deps: SeatSetsDeps;
+/** Finds homes, and keeps replaced seat sets as long as records live. */
+export class SeatSetHistory {
+  readonly #deps: SeatSetHistoryDeps;
   #zones: readonly ZoneSeats[] = [];
   #set = new SeatSet([]);
-  #earlier: Earlier[] = [];
+  #previous: PreviousSeatSet[] = [];
   #changedAt = -Infinity;
 
-  constructor(deps: SeatSetsDeps) {
+  constructor(deps: SeatSetHistoryDeps) {
     this.#deps = deps;
   }
 
-  /** Takes over the zones of a newly accepted document. */
+  /** Applies the zones of a newly accepted document. */
   adopt(zones: readonly ZoneSeats[]): void {
     if (describeZones(zones) === describeZones(this.#zones)) return;
     const now = this.#deps.clock.now();
     if (this.#zones.length > 0) {
       const until = now + this.#deps.retentionMs;
-      this.#earlier.push({ set: this.#set, until });
+      this.#previous.push({ set: this.#set, until });
       this.#changedAt = now;
     }
     this.#zones = zones;
@@ -61,14 +61,14 @@
 
   find(operation: OperationIdentity): SeatHome {
     const now = this.#deps.clock.now();
-    if (this.#earlier.some((e) => e.until <= now)) {
-      this.#earlier = this.#earlier.filter((e) => e.until > now);
+    if (this.#previous.some((e) => e.until <= now)) {
+      this.#previous = this.#previous.filter((e) => e.until > now);
     }
     const seat = this.#set.homeOf(operation);
-    const moved = this.#earlier.map((e) => e.set.homeOf(operation))
+    const previousSeats = this.#previous.map((e) => e.set.homeOf(operation))
       .filter((s) => s !== undefined)
       .filter((s) => !isSameSeat(s, seat));
-    return { seat, moved, changedAt: this.#changedAt };
+    return { seat, previousSeats, changedAt: this.#changedAt };
   }
 }
 
--- a/src/operations/second_side.ts
+++ b/src/operations/settle_handler.ts
@@ -1,6 +1,6 @@
 /**
- * The second place's side: takes in intents and conclusions of others, and
- * answers who asks in an owner's stead.
+ * The backup's side of the protocol: receives intents and conclusions from
+ * owners, and answers queries on their behalf.
  *
  * @module
  */
@@ -16,73 +16,73 @@
 } from "../gen/ledger_pb.ts";
 import {
   answerFromWire,
+  decisionToWire,
   nameFromWire,
-  resultToWire,
   seatFromWire,
   stateFromWire,
 } from "./codec.ts";
-import { type Place, TOKEN_LIFE_MS } from "./home_token.ts";
-import type { Ledger, OperationName, PlaceDecision } from "./ledger.ts";
-import type { PlaceTable } from "./places.ts";
-import type { RegionHistory } from "./region_history.ts";
+import { type Replica, TOKEN_TTL_MS } from "./home_token.ts";
+import type { Ledger, OperationName, SettleDecision } from "./ledger.ts";
+import type { ReplicaTable } from "./replica_table.ts";
+import type { DepartureHistory } from "./departure_history.ts";
 
-/** What the second place's side needs. */
-export interface SecondSideDeps {
-  readonly self: Place;
+/** Dependencies of the settle handler. */
+export interface SettleHandlerDeps {
+  readonly self: Replica;
   readonly ledger: Ledger;
-  readonly places: PlaceTable;
-  readonly history: RegionHistory;
+  readonly replicas: ReplicaTable;
+  readonly history: DepartureHistory;
   readonly clock: Clock;
 }
 
-const NOT_TAKEN: PlaceDecision = {
+const NOT_ACCEPTED: SettleDecision = {
   accepted: false,
   state: "none",
   fingerprint: "",
 };
 
-/** Settles what other instances send. */
-export class SecondSide {
-  readonly #deps: SecondSideDeps;
+/** Settles entries from other instances. */
+export class SettleHandler {
+  readonly #deps: SettleHandlerDeps;
 
-  constructor(deps: SecondSideDeps) {
+  constructor(deps: SettleHandlerDeps) {
     this.#deps = deps;
   }
 
   /**
-   * Settles a whole request. Another incarnation than the one meant refuses,
-   * and so does everybody to a stranger, who could shut out operations.
+   * Settles a request. It is rejected if meant for another incarnation or if
+   * sent by an unknown peer, which could fence off operations.
    */
   settle(req: SettleRequest): SettleResponse {
-    const { places, self } = this.#deps;
-    const meant = req.incarnation === self.incarnation;
-    if (!meant || !places.recognises(req.from)) {
+    const { replicas, self } = this.#deps;
+    const isTarget = req.incarnation === self.incarnation;
+    if (!isTarget || !replicas.authenticates(req.from)) {
       return create(SettleResponseSchema, { gone: true });
     }
-    const results = req.entries.map((entry) => this.#entry(entry));
+    const results = req.entries.map((entry) => this.#settleEntry(entry));
     const { history } = this.#deps;
     return create(SettleResponseSchema, {
       results,
       historyMs: history.lengthMs,
       lost: history.lost(),
-      heard: req.entries.some(asksForSeat) ? history.present() : [],
+      heard: req.entries.some(isSeatQuery) ? history.present() : [],
     });
   }
 
-  /** Answers in the stead of an owner that is out of reach. */
-  fence(name: OperationName, issuedMs: number): PlaceDecision {
+  /** Answers on behalf of an owner that is unreachable. */
+  fence(name: OperationName, issuedMs: number): SettleDecision {
     const { ledger, clock } = this.#deps;
     const known = ledger.view(name);
     if (known.state !== "none") return { ...known, accepted: true };
-    if (this.#mayHaveForgotten(name, issuedMs)) return NOT_TAKEN;
+    if (this.#mayHaveExpired(name, issuedMs)) return NOT_ACCEPTED;
     return ledger.fence(name, { now: clock.now() });
   }
 
-  #entry(entry: LedgerEntry): LedgerResult {
-    return resultToWire(this.#decide(entry));
+  #settleEntry(entry: LedgerEntry): LedgerResult {
+    return decisionToWire(this.#decide(entry));
   }
 
-  #decide(entry: LedgerEntry): PlaceDecision {
+  #decide(entry: LedgerEntry): SettleDecision {
     const { ledger, clock } = this.#deps;
     const name = nameFromWire(entry.name);
     const seat = seatFromWire(entry.seat);
@@ -105,14 +105,14 @@
         const state = stateFromWire(entry.state);
         const answer = answerFromWire(entry.answer);
         const record = { name, fingerprint, run, owner, seat, state, answer };
-        return { ...NOT_TAKEN, accepted: ledger.copy(record, now) };
+        return { ...NOT_ACCEPTED, accepted: ledger.copy(record, now) };
       }
       default:
-        return NOT_TAKEN;
+        return NOT_ACCEPTED;
     }
   }
 
-  #conclude(entry: LedgerEntry, name: OperationName): PlaceDecision {
+  #conclude(entry: LedgerEntry, name: OperationName): SettleDecision {
     const { ledger, clock } = this.#deps;
     const state = stateFromWire(entry.state);
     const conclusion = state === "answered"
@@ -123,17 +123,17 @@
   }
 
   /**
-   * A record lives longer than a token, so a young token without a record was
-   * never used. Of an old one that cannot be said: its record may be over its
-   * time, and "not run" would be false.
+   * A record outlives a token, so a young token without a record was never
+   * used. For an old token the record may have expired, and "not run" could be
+   * false.
    */
-  #mayHaveForgotten(name: OperationName, issuedMs: number): boolean {
+  #mayHaveExpired(name: OperationName, issuedMs: number): boolean {
     const owner = name.scope.split("~")[0] ?? "";
-    return this.#deps.places.ageOf(owner, issuedMs) > TOKEN_LIFE_MS;
+    return this.#deps.replicas.ageOf(owner, issuedMs) > TOKEN_TTL_MS;
   }
 }
 
-/** Whether a seat's new holder asks, who has to know whom else to ask. */
-function asksForSeat({ kind, seat }: LedgerEntry): boolean {
+/** Whether a seat's new holder asks; it needs the incarnations to query. */
+function isSeatQuery({ kind, seat }: LedgerEntry): boolean {
   return kind === EntryKind.FENCE && seat !== undefined;
 }
--- a/src/operations/settle_queue.ts
+++ b/src/operations/settle_queue.ts
@@ -1,10 +1,10 @@
 /**
- * Entries on their way to other places, batched per place.
+ * Sends ledger entries to other replicas in batches, one queue per replica.
  *
- * What goes wrong without it: one call an operation costs about 0.1 ms of
- * processor time at both ends, which shows as control taking a whole core. An
- * entry leaves at once while few calls are out; while as many as allowed are,
- * entries gather and leave together, so that light load waits for nothing.
+ * Without batching, one call per operation costs about 0.1 ms of processor time
+ * at both ends, which makes the control plane take a whole core. An entry is
+ * sent at once while few calls are in flight; at the limit, entries are
+ * collected and sent together, so that nothing waits under light load.
  *
  * @module
  */
@@ -20,34 +20,34 @@
 } from "../gen/ledger_pb.ts";
 import type { PeerTransport } from "../peers/mod.ts";
 import type { PeerCredential } from "./home_token.ts";
-import type { KnownPlace } from "./places.ts";
+import type { PeerReplica } from "./replica_table.ts";
 
-/** What became of an entry, and what the place says of itself. */
-export interface Settled {
+/** The result for an entry, and the response that contained it. */
+export interface SettleReply {
   readonly result: LedgerResult;
   readonly response: SettleResponse;
 }
 
-interface Waiting {
+interface PendingEntry {
   readonly entry: LedgerEntry;
-  readonly done: (settled: Result<Settled, Failure>) => void;
+  readonly done: (reply: Result<SettleReply, Failure>) => void;
 }
 
-interface Lane {
-  waiting: Waiting[];
-  out: number;
-  /** Whether this turn's entries are about to be sent. */
-  due: boolean;
+interface PeerQueue {
+  pending: PendingEntry[];
+  inFlight: number;
+  /** Whether a flush is scheduled for the end of this turn. */
+  flushScheduled: boolean;
 }
 
-const MAX_OUT = 2;
+const MAX_CALLS_IN_FLIGHT = 2;
 const MAX_ENTRIES = 256;
-/** Answers of this many bytes together end a batch. */
+/** A batch ends when its answers reach this many bytes. */
 const MAX_BATCH_BYTES = 1_000_000;
 /**
- * A second place within the region answers in a few milliseconds. On a machine
- * that is short of processor time a hundred times that has been seen, and
- * giving up then would refuse what could have run.
+ * A backup within the region answers in a few milliseconds. On a machine short
+ * of processor time a hundred times that was observed, and a shorter timeout
+ * would refuse operations that could have run.
  */
 export const SETTLE_TIMEOUT_MS = 500;
 
@@ -55,97 +55,104 @@
 export class SettleQueue {
   readonly #transport: PeerTransport;
   readonly #self: PeerCredential;
-  readonly #lanes = new Map<string, Lane>();
+  readonly #queues = new Map<string, PeerQueue>();
 
   constructor(transport: PeerTransport, self: PeerCredential) {
     this.#transport = transport;
     this.#self = self;
   }
 
-  /** Sends one entry; fails with `peer_unavailable`. */
+  /** Sends one entry; fails with `peer_unavailable` or `not_found`. */
   send(
-    place: KnownPlace,
+    replica: PeerReplica,
     entry: LedgerEntry,
-  ): Promise<Result<Settled, Failure>> {
-    const lane = this.#lane(place);
+  ): Promise<Result<SettleReply, Failure>> {
+    const queue = this.#queueFor(replica);
     return new Promise((done) => {
-      lane.waiting.push({ entry, done });
-      this.#schedule(place, lane);
+      queue.pending.push({ entry, done });
+      this.#schedule(replica, queue);
     });
   }
 
-  /** Forgets lanes that stand idle, so that ended incarnations leave none. */
+  /** Removes idle queues, so that ended incarnations leave none behind. */
   sweep(): void {
-    for (const [key, lane] of this.#lanes) {
-      if (lane.out === 0 && lane.waiting.length === 0) this.#lanes.delete(key);
+    for (const [key, q] of this.#queues) {
+      if (q.inFlight === 0 && q.pending.length === 0) this.#queues.delete(key);
     }
   }
 
-  #lane(place: KnownPlace): Lane {
-    const known = this.#lanes.get(place.incarnation);
+  #queueFor(replica: PeerReplica): PeerQueue {
+    const known = this.#queues.get(replica.incarnation);
     if (known) return known;
-    const lane = { waiting: [], out: 0, due: false };
-    this.#lanes.set(place.incarnation, lane);
-    return lane;
+    const queue = { pending: [], inFlight: 0, flushScheduled: false };
+    this.#queues.set(replica.incarnation, queue);
+    return queue;
   }
 
-  #schedule(place: KnownPlace, lane: Lane): void {
-    if (lane.due || lane.out >= MAX_OUT || lane.waiting.length === 0) return;
-    lane.due = true;
+  #schedule(replica: PeerReplica, queue: PeerQueue): void {
+    if (
+      queue.flushScheduled || queue.inFlight >= MAX_CALLS_IN_FLIGHT ||
+      queue.pending.length === 0
+    ) return;
+    queue.flushScheduled = true;
     queueMicrotask(() => {
-      lane.due = false;
-      void this.#flush(place, lane);
+      queue.flushScheduled = false;
+      void this.#flush(replica, queue);
     });
   }
 
-  async #flush(place: KnownPlace, lane: Lane): Promise<void> {
-    const batch = takeBatch(lane.waiting);
+  async #flush(replica: PeerReplica, queue: PeerQueue): Promise<void> {
+    const batch = takeBatch(queue.pending);
     if (batch.length === 0) return;
-    lane.out += 1;
-    this.#schedule(place, lane);
+    queue.inFlight += 1;
+    this.#schedule(replica, queue);
     const req = create(SettleRequestSchema, {
-      incarnation: place.incarnation,
+      incarnation: replica.incarnation,
       from: this.#self,
       entries: batch.map((w) => w.entry),
     });
-    const response = await this.#call(place, req);
-    lane.out -= 1;
-    this.#schedule(place, lane);
-    batch.forEach((waiting, i) => waiting.done(resultAt(response, i)));
+    const response = await this.#call(replica, req);
+    queue.inFlight -= 1;
+    this.#schedule(replica, queue);
+    batch.forEach((pending, i) => pending.done(replyAt(response, i)));
   }
 
   #call(
-    place: KnownPlace,
+    replica: PeerReplica,
     req: SettleRequest,
   ): Promise<Result<SettleResponse, Failure>> {
-    return this.#transport.settle(place.peerUrl, req, SETTLE_TIMEOUT_MS);
+    return this.#transport.settle(replica.peerUrl, req, SETTLE_TIMEOUT_MS);
   }
 }
 
-function takeBatch(waiting: Waiting[]): Waiting[] {
+function takeBatch(pending: PendingEntry[]): PendingEntry[] {
   let bytes = 0;
   let n = 0;
-  while (n < waiting.length && n < MAX_ENTRIES && bytes < MAX_BATCH_BYTES) {
-    bytes += waiting[n]?.entry.answer?.body.length ?? 0;
+  while (n < pending.length && n < MAX_ENTRIES && bytes < MAX_BATCH_BYTES) {
+    bytes += pending[n]?.entry.answer?.body.length ?? 0;
     n += 1;
   }
-  return waiting.splice(0, n);
+  return pending.splice(0, n);
 }
 
-function resultAt(
+function replyAt(
   response: Result<SettleResponse, Failure>,
   index: number,
-): Result<Settled, Failure> {
+): Result<SettleReply, Failure> {
   return response.andThen((res) => {
     if (res.gone) {
-      return fail<Settled>("not_found", "the incarnation is gone", {
+      return fail<SettleReply>("not_found", "the target incarnation is gone", {
         outcome: "not-run",
       });
     }
     const result = res.results[index];
     if (result) return ok({ result, response: res });
-    return fail<Settled>("peer_unavailable", "the peer's answer is short", {
-      outcome: "unknown",
-    });
+    return fail<SettleReply>(
+      "peer_unavailable",
+      "the peer's response lacks a result",
+      {
+        outcome: "unknown",
+      },
+    );
   });
 }
--- a/src/operations/settle_queue_test.ts
+++ b/src/operations/settle_queue_test.ts
@@ -11,20 +11,20 @@
   SettleResponseSchema,
 } from "../gen/ledger_pb.ts";
 import type { PeerTransport } from "../peers/mod.ts";
-import type { KnownPlace } from "./places.ts";
+import type { PeerReplica } from "./replica_table.ts";
 import { SettleQueue } from "./settle_queue.ts";
 
 type Settle = (req: SettleRequest) => Result<SettleResponse, Failure>;
 
-const PLACE: KnownPlace = {
+const REPLICA: PeerReplica = {
   instance: "i2",
   incarnation: "0b",
-  secret: "b",
+  peerIncarnation: "b",
   zone: "z",
   region: "r",
   peerUrl: "",
   leaving: false,
-  heardAt: 0,
+  lastSeenAt: 0,
   home: "",
   clockMs: 0,
 };
@@ -49,7 +49,7 @@
     (_, i) =>
       create(LedgerEntrySchema, { kind: EntryKind.INTENT, run: `r.${i}` }),
   );
-  return Promise.all(entries.map((entry) => queue.send(PLACE, entry)));
+  return Promise.all(entries.map((entry) => queue.send(REPLICA, entry)));
 }
 
 function echo(req: SettleRequest): Result<SettleResponse, Failure> {
@@ -60,21 +60,21 @@
 }
 
 /**
- * A burst of operations begins at once. One call for each would cost both ends
- * more processor time than the operations; answers that were mixed up between
- * entries would dispatch an operation whose intent was refused.
+ * A burst of operations starts at once. One call for each would cost both ends
+ * more processor time than the operations; a result assigned to the wrong entry
+ * would dispatch an operation whose intent was refused.
  */
-test("entries that come together leave together, each with its own answer", async (t) => {
+test("entries of one turn are sent together, each with its own result", async (t) => {
   const { queue, calls } = makeQueue(echo);
   const settled = await send(queue, 600);
   t.deepEqual(calls, [256, 256, 88]);
-  const told = settled.map((s) => s._unsafeUnwrap().result.fingerprint);
-  t.deepEqual(told, settled.map((_, i) => `r.${i}`));
+  const fingerprints = settled.map((s) => s._unsafeUnwrap().result.fingerprint);
+  t.deepEqual(fingerprints, settled.map((_, i) => `r.${i}`));
 });
 
 /**
- * A place gives no answer, a short one, or is another incarnation. An entry
- * without an answer must not pass for recorded.
+ * A replica does not answer, answers incompletely or is another incarnation. An
+ * entry without a result must not count as recorded.
  */
 const BROKEN: { what: string; settle: Settle; outcome: string }[] = [
   {
@@ -83,19 +83,19 @@
     outcome: "unknown",
   },
   {
-    what: "a short answer",
+    what: "a response without results",
     settle: () => ok(create(SettleResponseSchema, {})),
     outcome: "unknown",
   },
   {
-    what: "word that it is another incarnation",
+    what: "a response of another incarnation",
     settle: () => ok(create(SettleResponseSchema, { gone: true })),
     outcome: "not-run",
   },
 ];
 
 for (const { what, settle, outcome } of BROKEN) {
-  test(`a place gives ${what}`, async (t) => {
+  test(`a replica gives ${what}`, async (t) => {
     const { queue } = makeQueue(settle);
     const settled = await send(queue, 2);
     t.deepEqual(
--- a/src/operations/store_place.ts
+++ b/src/operations/store_backup.ts
@@ -1,11 +1,11 @@
 /**
- * The platform's store as a second place, for an instance that reaches no
- * other instance of its region.
+ * The platform's store as backup replica, for an instance that reaches no other
+ * instance of its region.
  *
- * All records of an owner stand in one object, written whole by conditional
- * update, many operations to a write. Who asks in the owner's stead closes the
+ * All records of an owner are in one object, written whole by conditional
+ * update, many operations per write. A query on behalf of the owner closes the
  * object by the same conditional update; the owner's next write then fails, so
- * that no operation is dispatched behind the asker's back.
+ * that it dispatches nothing already reported as not run.
  *
  * @module
  */
@@ -13,18 +13,18 @@
 import { z } from "zod";
 import { type Clock, fail, type Failure, sleep } from "../core/mod.ts";
 import type { Platform, Versioned } from "../store/mod.ts";
-import type { Place } from "./home_token.ts";
+import type { Replica } from "./home_token.ts";
 import {
   type Conclusion,
   type IntentEntry,
-  keyOf,
+  nameKey,
   type OperationName,
-  type PlaceDecision,
   type RecordView,
+  type SettleDecision,
 } from "./ledger.ts";
 
-/** The place that a home token names for the store. */
-export const STORE_PLACE: Place = { instance: "store", incarnation: "0" };
+/** The replica that a home token names for the store. */
+export const STORE_REPLICA: Replica = { instance: "store", incarnation: "0" };
 
 const StoredRecord = z.strictObject({
   state: z.enum(["intent", "answered", "unknown"]),
@@ -32,89 +32,89 @@
   run: z.string(),
 });
 const StoredLog = z.strictObject({
-  /** Whether somebody asked in the owner's stead. */
+  /** Whether another instance has queried it on behalf of the owner. */
   closed: z.boolean(),
   records: z.record(z.string(), StoredRecord),
 });
 type StoredLog = z.infer<typeof StoredLog>;
 type StoredRecord = z.infer<typeof StoredRecord>;
 
-/** What the store as a second place needs. */
-export interface StorePlaceDeps {
-  readonly self: Place;
+/** Dependencies of the store backup. */
+export interface StoreBackupDeps {
+  readonly self: Replica;
   readonly platform: Platform;
   readonly clock: Clock;
   readonly retentionMs: number;
 }
 
-interface Waiting {
+interface PendingWrite {
   readonly done: (written: Result<void, Failure>) => void;
 }
 
-interface Held extends StoredRecord {
+interface HeldRecord extends StoredRecord {
   readonly expiresAt: number;
 }
 
-/** Twenty writes a second and instance at most; the store takes hundreds. */
-const WRITE_EVERY_MS = 50;
-/** About 200 bytes each; a value holds a megabyte. */
+/** At most twenty writes a second per instance; the store sustains hundreds. */
+const WRITE_INTERVAL_MS = 50;
+/** About 200 bytes each; a stored value may be up to a megabyte. */
 const MAX_RECORDS = 3_000;
-const ASK_TRIES = 3;
-/** After a failed write the store is not named in new tokens for this long. */
-const SUSPECT_MS = 2_000;
-
-/** Records in the store. */
-export class StorePlace {
-  readonly #deps: StorePlaceDeps;
-  readonly #records = new Map<string, Held>();
-  #waiting: Waiting[] = [];
+const MAX_FENCE_ATTEMPTS = 3;
+/** How long new tokens do not name the store after a failed write. */
+const STORE_SUSPECT_MS = 2_000;
+
+/** Keeps this instance's records in the store. */
+export class StoreBackup {
+  readonly #deps: StoreBackupDeps;
+  readonly #records = new Map<string, HeldRecord>();
+  #pendingWrites: PendingWrite[] = [];
   #version: string | undefined;
   #writing = false;
   #closed = false;
   #suspectUntil = -Infinity;
 
-  constructor(deps: StorePlaceDeps) {
+  constructor(deps: StoreBackupDeps) {
     this.#deps = deps;
   }
 
-  /** Whether new operations may be recorded here. */
+  /** Whether new operations can be recorded here. */
   get usable(): boolean {
     return !this.#closed && this.#records.size < MAX_RECORDS &&
       this.#deps.clock.now() >= this.#suspectUntil;
   }
 
-  /** Records an intent; not accepted once somebody closed the object. */
-  async record(intent: IntentEntry): Promise<Result<PlaceDecision, Failure>> {
+  /** Records an intent; not accepted once the object has been closed. */
+  async record(intent: IntentEntry): Promise<Result<SettleDecision, Failure>> {
     if (this.#closed) return ok(CLOSED);
-    if (!this.usable) return notRecorded("the store's object is full");
+    if (!this.usable) return notRecorded("the store accepts no records now");
     const { name, fingerprint, run, keepMs } = intent;
     const expiresAt = this.#deps.clock.now() + keepMs;
     const held = { state: "intent", fingerprint, run, expiresAt } as const;
-    this.#records.set(keyOf(name), held);
+    this.#records.set(nameKey(name), held);
     const written = await this.#written();
     if (written.isOk()) return ok({ accepted: true, ...viewOf(held) });
-    this.#drop(name, run);
+    this.#delete(name, run);
     return this.#closed ? ok(CLOSED) : notRecorded(written.error.message);
   }
 
-  /** Notes how a run ended; it goes out with the next write. */
+  /** Records the conclusion of a run; sent with the next write. */
   conclude(name: OperationName, run: string, conclusion: Conclusion): void {
-    const known = this.#records.get(keyOf(name));
+    const known = this.#records.get(nameKey(name));
     if (known?.run !== run) return;
-    if (conclusion.state === "refused") return this.#drop(name, run);
+    if (conclusion.state === "refused") return this.#delete(name, run);
     const expiresAt = this.#deps.clock.now() + this.#deps.retentionMs;
     const { state } = conclusion;
-    this.#records.set(keyOf(name), { ...known, state, expiresAt });
+    this.#records.set(nameKey(name), { ...known, state, expiresAt });
   }
 
-  /** Asks in an owner's stead, and closes its object if it has no record. */
-  async ask(owner: string, name: OperationName): Promise<RecordView> {
-    for (let i = 0; i < ASK_TRIES; i++) {
+  /** Reads an owner's record; closes its object if there is none. */
+  async fence(owner: string, name: OperationName): Promise<RecordView> {
+    for (let i = 0; i < MAX_FENCE_ATTEMPTS; i++) {
       const found = await this.#deps.platform.get(objectKey(owner));
       if (found.isErr()) return UNKNOWN;
       const log = parseLog(found.value);
       if (log === undefined) return UNKNOWN;
-      const record = log.records[keyOf(name)];
+      const record = log.records[nameKey(name)];
       if (record) return viewOf(record);
       if (log.closed) return REFUSED;
       const closed = await this.#put(owner, {
@@ -127,7 +127,7 @@
     return UNKNOWN;
   }
 
-  /** Forgets what is over its time. */
+  /** Removes expired records. */
   sweep(now: number): void {
     for (const [key, held] of this.#records) {
       if (held.expiresAt <= now) this.#records.delete(key);
@@ -136,30 +136,30 @@
 
   #written(): Promise<Result<void, Failure>> {
     return new Promise((done) => {
-      this.#waiting.push({ done });
+      this.#pendingWrites.push({ done });
       if (!this.#writing) void this.#write();
     });
   }
 
   async #write(): Promise<void> {
     this.#writing = true;
-    while (this.#waiting.length > 0) {
-      const batch = this.#waiting;
-      this.#waiting = [];
+    while (this.#pendingWrites.length > 0) {
+      const batch = this.#pendingWrites;
+      this.#pendingWrites = [];
       const written = await this.#writeOnce();
       if (written.isErr()) {
-        this.#suspectUntil = this.#deps.clock.now() + SUSPECT_MS;
+        this.#suspectUntil = this.#deps.clock.now() + STORE_SUSPECT_MS;
       }
       for (const { done } of batch) done(written);
-      await sleep(this.#deps.clock, WRITE_EVERY_MS);
+      await sleep(this.#deps.clock, WRITE_INTERVAL_MS);
     }
     this.#writing = false;
   }
 
   /**
-   * A write whose answer was lost may stand. The next one then meets a version
-   * that it does not know, reads the object back and goes on from there,
-   * unless somebody closed it.
+   * A write whose response was lost may have succeeded. The next write then
+   * fails on a version conflict, reads the object back and retries with its
+   * version, unless another instance has closed it.
    */
   async #writeOnce(): Promise<Result<void, Failure>> {
     const first = await this.#putOwn();
@@ -203,21 +203,21 @@
     return this.#deps.platform.put(objectKey(owner), value, condition);
   }
 
-  #drop(name: OperationName, run: string): void {
-    const known = this.#records.get(keyOf(name));
-    if (known?.run === run) this.#records.delete(keyOf(name));
+  #delete(name: OperationName, run: string): void {
+    const known = this.#records.get(nameKey(name));
+    if (known?.run === run) this.#records.delete(nameKey(name));
   }
 }
 
 const UNKNOWN: RecordView = { state: "unknown", fingerprint: "" };
 const REFUSED: RecordView = { state: "refused", fingerprint: "" };
-const CLOSED: PlaceDecision = { ...REFUSED, accepted: false };
+const CLOSED: SettleDecision = { ...REFUSED, accepted: false };
 
 function objectKey(owner: string): string {
   return `operations/${owner}`;
 }
 
-/** An absent object is an empty one; a broken one is undefined. */
+/** An absent object is read as empty, a malformed one as undefined. */
 function parseLog(found: Versioned<string> | undefined): StoredLog | undefined {
   if (found === undefined) return { closed: false, records: {} };
   try {
@@ -231,6 +231,6 @@
   return { state, fingerprint };
 }
 
-function notRecorded(reason: string): Result<PlaceDecision, Failure> {
+function notRecorded(reason: string): Result<SettleDecision, Failure> {
   return fail("platform_unavailable", reason, { outcome: "not-run" });
 }
--- a/src/operations/testing/fake_fleet.ts
+++ b/src/operations/testing/fake_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Several instances' operations in one process over a fake network, an
- * endpoint that counts, and a clock that a test moves.
+ * Operations of several instances in one process, with a fake network, an
+ * endpoint that counts dispatches, and a manual clock.
  *
  * @module
  */
@@ -43,7 +43,7 @@
 import { DEFAULT_LEDGER_LIMITS, type LedgerLimits } from "../ledger.ts";
 import type { OperationRequest, RunResult } from "../operations.ts";
 
-/** One message under way. */
+/** A message in transit. */
 export interface FakeMessage {
   readonly from: string;
   readonly to: string;
@@ -52,10 +52,10 @@
   readonly entries: readonly EntryKind[];
 }
 
-/** What becomes of a message. */
-export type Fate = "deliver" | "lose" | "repeat" | "late";
+/** How the network treats a message. */
+export type Delivery = "deliver" | "lose" | "repeat" | "late";
 
-/** One attempt of a caller, and what it was told. */
+/** One attempt of a caller, and its result. */
 export interface Attempt {
   readonly number: number;
   readonly id: string;
@@ -63,14 +63,14 @@
   result: RunResult | undefined;
 }
 
-/** One dispatch that the endpoint saw. */
+/** A dispatch received by the endpoint. */
 export interface Dispatch {
   readonly attempt: number;
   readonly id: string;
   readonly by: string;
 }
 
-/** Settings of a fleet. */
+/** Options of a fleet. */
 export interface FakeFleetOptions {
   readonly seed?: number;
   readonly limits?: Partial<LedgerLimits>;
@@ -78,14 +78,14 @@
   readonly perZone?: number;
 }
 
-const ROUND_MS = 100;
+const GOSSIP_INTERVAL_MS = 100;
 const STEP_MS = 10;
-const LATE_MS = 3_000;
-const FLUSHES = 12;
-const LIMIT_MS = 2_000;
+const LATE_DELAY_MS = 3_000;
+const FLUSH_TURNS = 12;
+const MAX_RUN_MS = 2_000;
 const MAX_OFFSET_MS = 10_000_000;
 
-/** Each process has its own zero of time. */
+/** A clock with its own zero, as each process has. */
 class OffsetClock implements Clock {
   readonly #base: Clock;
   readonly #offsetMs: number;
@@ -108,7 +108,7 @@
   }
 }
 
-/** One instance of a fake fleet. */
+/** One instance of the fake fleet. */
 export class FakeNode {
   readonly name: string;
   readonly zone: string;
@@ -123,17 +123,22 @@
 
   constructor(
     fleet: FakeFleet,
-    place: { name: string; zone: string; region: string; incarnation: string },
+    identity: {
+      name: string;
+      zone: string;
+      region: string;
+      incarnation: string;
+    },
     limits: LedgerLimits,
   ) {
-    this.name = place.name;
-    this.zone = place.zone;
-    this.region = place.region;
-    this.incarnation = place.incarnation;
+    this.name = identity.name;
+    this.zone = identity.zone;
+    this.region = identity.region;
+    this.incarnation = identity.incarnation;
     const offsetMs = fleet.random.below(MAX_OFFSET_MS);
     this.#clock = new OffsetClock(fleet.clock, offsetMs);
     this.operations = new HomeOperations({
-      self: { ...place, instance: place.name },
+      self: { ...identity, instance: identity.name },
       clock: this.#clock,
       random: fleet.random,
       metrics: new MemoryMetrics(),
@@ -145,15 +150,15 @@
         held: () => fleet.held(this),
       },
       runner: {
-        limitMs: () => LIMIT_MS,
+        limitMs: () => MAX_RUN_MS,
         run: (req) => fleet.dispatch(this, req),
       },
       limits,
     });
   }
 
-  /** Passes while the process runs; a killed one never goes on. */
-  async gate(): Promise<void> {
+  /** Resolves while the process runs; never for a killed process. */
+  async waitUntilRunning(): Promise<void> {
     await this.#paused;
     if (!this.alive) await new Promise(() => {});
   }
@@ -200,15 +205,15 @@
   platformDown = false;
   seats: SeatEntry[] = [];
   zones: readonly ZoneSeats[] = [];
-  /** Called for each message; says what becomes of it. */
-  onMessage: (msg: FakeMessage) => Fate = () => "deliver";
-  /** Called when the endpoint got a request; gives its answer. */
+  /** Called for each message; decides how it is delivered. */
+  onMessage: (msg: FakeMessage) => Delivery = () => "deliver";
+  /** Called when the endpoint receives a request; returns its answer. */
   onDispatch: (dispatch: Dispatch) => Promise<RunResult> = (d) =>
     Promise.resolve(answerOf(d.attempt));
   /** Pairs of nodes that cannot reach each other. */
   readonly cuts = new Set<string>();
   readonly #limits: LedgerLimits;
-  #roundAt = 0;
+  #nextGossipAt = 0;
 
   constructor(opts: FakeFleetOptions = {}) {
     this.random = new SeededRandom(opts.seed ?? 1);
@@ -238,17 +243,17 @@
     return node;
   }
 
-  /** Starts an instance, or one that replaces an earlier of that name. */
+  /** Starts an instance, replacing any earlier one of that name. */
   start(name: string, at: { zone: string; region: string }): FakeNode {
     const incarnation = this.random.hex(4);
-    const place = { name, ...at, incarnation };
-    const node = new FakeNode(this, place, this.#limits);
+    const identity = { name, ...at, incarnation };
+    const node = new FakeNode(this, identity, this.#limits);
     node.operations.adopt(this.zones);
     this.nodes.set(name, node);
     return node;
   }
 
-  /** Puts a document with other seats in force everywhere. */
+  /** Applies a document with other seats at every node. */
   adopt(zones: readonly ZoneSeats[]): void {
     this.zones = zones;
     for (const node of this.nodes.values()) node.operations.adopt(zones);
@@ -258,7 +263,7 @@
     this.node(name).alive = false;
   }
 
-  /** Gives all seats of one holder to another, in a new epoch. */
+  /** Moves all seats of one holder to another, in a new epoch. */
   moveSeats(from: string, to: string): void {
     this.seats = this.seats.map((s) =>
       s.holder !== from ? s : {
@@ -270,7 +275,7 @@
     );
   }
 
-  /** Cuts two nodes off from each other, or joins them again. */
+  /** Partitions two nodes from each other, or reconnects them. */
   cut(a: string, b: string, isCut = true): void {
     for (const pair of [`${a} ${b}`, `${b} ${a}`]) {
       if (isCut) this.cuts.add(pair);
@@ -278,7 +283,7 @@
     }
   }
 
-  /** Sends an attempt to a node; its result shows up in the attempt. */
+  /** Sends an attempt to a node; its result is stored in the attempt. */
   send(
     node: string,
     opts: {
@@ -296,22 +301,22 @@
     return attempt;
   }
 
-  /** Lets time pass; batches go round as in a running fleet. */
-  async pass(ms: number): Promise<void> {
+  /** Advances the clock, with gossip exchanged as in a running fleet. */
+  async advance(ms: number): Promise<void> {
     for (let left = ms; left > 0; left -= STEP_MS) {
       await this.flush();
-      if (this.clock.now() >= this.#roundAt) this.#round();
+      if (this.clock.now() >= this.#nextGossipAt) this.#exchangeGossip();
       this.clock.advance(STEP_MS);
     }
     await this.flush();
   }
 
-  /** Lets all that needs no time happen. */
+  /** Runs all pending work that needs no time to pass. */
   async flush(): Promise<void> {
-    for (let i = 0; i < FLUSHES; i++) await setImmediate();
+    for (let i = 0; i < FLUSH_TURNS; i++) await setImmediate();
   }
 
-  /** What must never be seen; empty if all is well. */
+  /** Violations of the at-most-once guarantee; empty if there are none. */
   violations(): string[] {
     const found: string[] = [];
     const runs = new Map<string, number>();
@@ -323,7 +328,7 @@
     for (const { number, id, home, result } of this.attempts) {
       if (result?.isErr() && result.error.outcome === "not-run") {
         if (ran.has(number)) {
-          found.push(`${id}: attempt ${number} ran, told not-run`);
+          found.push(`${id}: attempt ${number} ran, reported not-run`);
         }
       }
       if (result?.isErr() && result.error.code === "operation_refused") {
@@ -332,12 +337,12 @@
         );
         if (underHome) found.push(`${id}: ran at a home that refused it`);
       }
-      if (result?.isOk() && !runs.has(id)) found.push(`${id}: made-up answer`);
+      if (result?.isOk() && !runs.has(id)) found.push(`${id}: answer, no run`);
     }
     return found;
   }
 
-  /** The network as one node sees it. */
+  /** The network as seen by one node. */
   transport(node: FakeNode): PeerTransport {
     return {
       exchange: () => Promise.resolve(fail("peer_unavailable", "unused")),
@@ -350,10 +355,10 @@
     };
   }
 
-  /** The store as one node sees it. */
+  /** The store as seen by one node. */
   platformFor(node: FakeNode): Platform {
     const down = async () => {
-      await node.gate();
+      await node.waitUntilRunning();
       return this.platformDown;
     };
     const failed = () => fail("platform_unavailable", "down");
@@ -381,7 +386,7 @@
   }
 
   async dispatch(node: FakeNode, req: OperationRequest): Promise<RunResult> {
-    await node.gate();
+    await node.waitUntilRunning();
     const attempt = Number(req.headers["x-attempt"]);
     const dispatch = { attempt, id: req.id, by: node.name };
     this.dispatches.push(dispatch);
@@ -389,7 +394,7 @@
     if (result.isErr() && result.error.outcome === "not-run") {
       this.dispatches.splice(this.dispatches.indexOf(dispatch), 1);
     }
-    await node.gate();
+    await node.waitUntilRunning();
     return result;
   }
 
@@ -399,7 +404,7 @@
     opts: { patienceMs?: number; body?: string },
   ): Promise<void> {
     if (!node.alive) return;
-    await node.gate();
+    await node.waitUntilRunning();
     const result = await node.operations.run({
       account: "a1" as AccountId,
       id: attempt.id as OperationId,
@@ -410,15 +415,15 @@
       path: "/",
       headers: { "x-attempt": String(attempt.number) },
       body: new Uint8Array(),
-      patienceMs: opts.patienceMs ?? LIMIT_MS,
+      patienceMs: opts.patienceMs ?? MAX_RUN_MS,
       ...(attempt.home ? { home: attempt.home } : {}),
     });
-    await node.gate();
+    await node.waitUntilRunning();
     attempt.result = result;
   }
 
-  #round(): void {
-    this.#roundAt = this.clock.now() + ROUND_MS;
+  #exchangeGossip(): void {
+    this.#nextGossipAt = this.clock.now() + GOSSIP_INTERVAL_MS;
     const up = [...this.nodes.values()].filter((n) => n.alive && !n.paused);
     for (const from of up) {
       from.sweep();
@@ -478,10 +483,10 @@
       run: (to: FakeNode) => Promise<T>;
     },
   ): Promise<Result<T, Failure>> {
-    await from.gate();
+    await from.waitUntilRunning();
     const timeout = this.#timeout(call.timeoutMs);
     const result = await Promise.race([this.#deliver(from, call), timeout]);
-    await from.gate();
+    await from.waitUntilRunning();
     return result as Result<T, Failure>;
   }
 
@@ -502,32 +507,35 @@
     const never = new Promise<never>(() => {});
     const to = this.nodes.get(url);
     const about = { from: from.name, to: url, kind, entries };
-    const fate = this.onMessage({ ...about, stage: "request" });
-    if (this.cuts.has(`${from.name} ${url}`) || fate === "lose") return never;
+    const action = this.onMessage({ ...about, stage: "request" });
+    if (this.cuts.has(`${from.name} ${url}`) || action === "lose") return never;
     if (to === undefined || !to.alive) {
       return fail("peer_unavailable", "refused", { outcome: "not-run" });
     }
-    if (fate === "late") await sleep(this.clock, LATE_MS);
-    await to.gate();
-    if (fate === "repeat") {
-      void sleep(this.clock, LATE_MS).then(() => to.gate()).then(() => run(to));
+    if (action === "late") await sleep(this.clock, LATE_DELAY_MS);
+    await to.waitUntilRunning();
+    if (action === "repeat") {
+      void sleep(this.clock, LATE_DELAY_MS).then(() => to.waitUntilRunning())
+        .then(() => run(to));
     }
     const answer = await run(to);
-    await to.gate();
-    const back = this.onMessage({ ...about, stage: "answer" });
-    if (this.cuts.has(`${url} ${from.name}`) || back === "lose") return never;
+    await to.waitUntilRunning();
+    const answerDelivery = this.onMessage({ ...about, stage: "answer" });
+    if (
+      this.cuts.has(`${url} ${from.name}`) || answerDelivery === "lose"
+    ) return never;
     return ok(answer);
   }
 }
 
-/** What the endpoint answers to an attempt. */
+/** The endpoint's answer to an attempt. */
 export function answerOf(attempt: number): RunResult {
   const body = new TextEncoder().encode(`done by ${attempt}`);
   return ok({ status: 200, headers: {}, body });
 }
 
-/** An attempt's result as a short word. */
-export function told(attempt: Attempt): string {
+/** An attempt's result as a short text. */
+export function resultText(attempt: Attempt): string {
   if (attempt.result === undefined) return "nothing";
   if (attempt.result.isOk()) {
     return new TextDecoder().decode(attempt.result.value.body);
--- a/src/operations/testing/ledger_model.ts
+++ b/src/operations/testing/ledger_model.ts
@@ -1,39 +1,39 @@
 /**
- * A small model of the ledger's protocol. Owners and second place are real
- * ledgers; between them stand messages that may be lost, repeated and arrive
- * in any order, and processes that may end at any step.
+ * A model of the ledger's protocol for exhaustive checking. Owners and backups
+ * are real ledgers; messages between them may be lost, duplicated and
+ * reordered, and processes may crash at any step.
  *
  * @module
  */
 import { Ledger, type OperationName, type SeatEpoch } from "../ledger.ts";
 
-/** A fault planted to see that the check can fail. */
-export type PlantedFault =
+/** A fault injected to check that the model detects it. */
+export type InjectedFault =
   | "none"
-  /** The owner dispatches without waiting for its second place. */
+  /** The owner dispatches without waiting for its backup. */
   | "second_place_skipped"
-  /** Who asks in the owner's stead says "not run" without fencing. */
+  /** A query on behalf of the owner answers "not run" without fencing. */
   | "fence_skipped"
-  /** The second place takes intents of any epoch. */
+  /** The backup accepts intents of any epoch. */
   | "epoch_ignored"
-  /** An owner that gave up on an intent forgets that it did. */
+  /** An owner that gave up on an intent does not keep the refusal. */
   | "refusal_forgotten";
 
 /** What is explored. */
 export interface ModelOptions {
   /** `token`: one owner; `seat`: a second owner takes over. */
-  readonly world: "token" | "seat";
-  readonly fault: PlantedFault;
-  /** Messages that may arrive once more. */
+  readonly homeKind: "token" | "seat";
+  readonly fault: InjectedFault;
+  /** The number of messages that may be delivered twice. */
   readonly repeats: number;
-  /** Times that somebody asks in the owner's stead. */
+  /** The number of queries on behalf of the owner. */
   readonly asks: number;
 }
 
-/** What an exploration found. */
+/** The result of an exploration. */
 export interface ModelResult {
   readonly states: number;
-  /** The shortest way to a violation; empty if there is none. */
+  /** The shortest path to a violation; empty if there is none. */
   readonly trace: readonly string[];
   readonly violation: string;
 }
@@ -43,7 +43,7 @@
 interface Owner {
   readonly ledger: Ledger;
   alive: boolean;
-  /** The run that waits for its second place, and the one dispatched. */
+  /** The run that waits for its backup, and the one dispatched. */
   waiting: string;
   dispatched: string;
 }
@@ -56,25 +56,25 @@
   readonly state: string;
 }
 
-interface World {
+interface ModelState {
   readonly first: Owner;
   readonly next: Owner;
-  readonly second: { readonly ledger: Ledger; alive: boolean };
-  /** The second place that the second owner chose for itself. */
-  readonly other: { readonly ledger: Ledger };
+  readonly backup: { readonly ledger: Ledger; alive: boolean };
+  /** The backup that the second owner uses. */
+  readonly otherBackup: { readonly ledger: Ledger };
   messages: Message[];
   dispatches: number;
-  /** Whether somebody was told that the operation did not and will not run. */
+  /** Whether any caller was told that the operation will not run. */
   refused: boolean;
   repeats: number;
   asks: number;
-  /** How far the second owner's questions have come. */
+  /** The result of the second owner's query. */
   takeover: "no" | "clear" | "known";
 }
 
 interface Step {
   readonly label: string;
-  readonly world: World;
+  readonly model: ModelState;
 }
 
 const NOW = 0;
@@ -84,21 +84,21 @@
 /** Explores every interleaving, breadth first. */
 export function explore(opts: ModelOptions): ModelResult {
   const start = initial(opts);
-  const seen = new Set([keyOfWorld(start)]);
-  let frontier: { world: World; trace: string[] }[] = [
-    { world: start, trace: [] },
+  const seen = new Set([modelKey(start)]);
+  let frontier: { model: ModelState; trace: string[] }[] = [
+    { model: start, trace: [] },
   ];
   while (frontier.length > 0) {
     const reached: typeof frontier = [];
-    for (const { world, trace } of frontier) {
-      for (const step of steps(world, opts)) {
-        const key = keyOfWorld(step.world);
+    for (const { model, trace } of frontier) {
+      for (const step of steps(model, opts)) {
+        const key = modelKey(step.model);
         if (seen.has(key)) continue;
         seen.add(key);
         const path = [...trace, step.label];
-        const violation = violationOf(step.world);
+        const violation = violationOf(step.model);
         if (violation) return { states: seen.size, trace: path, violation };
-        reached.push({ world: step.world, trace: path });
+        reached.push({ model: step.model, trace: path });
       }
     }
     frontier = reached;
@@ -106,21 +106,21 @@
   return { states: seen.size, trace: [], violation: "" };
 }
 
-function initial(opts: ModelOptions): World {
+function initial(opts: ModelOptions): ModelState {
   const owner = () => ({
     ledger: new Ledger(),
     alive: true,
     waiting: "",
     dispatched: "",
   });
-  const attempts: OwnerName[] = opts.world === "token"
+  const attempts: OwnerName[] = opts.homeKind === "token"
     ? ["first", "first"]
     : ["first", "next"];
   return {
     first: owner(),
     next: owner(),
-    second: { ledger: new Ledger(), alive: true },
-    other: { ledger: new Ledger() },
+    backup: { ledger: new Ledger(), alive: true },
+    otherBackup: { ledger: new Ledger() },
     messages: attempts.map((name) => message("attempt", name)),
     dispatches: 0,
     refused: false,
@@ -130,54 +130,54 @@
   };
 }
 
-function violationOf(world: World): string {
-  if (world.dispatches > 1) return "dispatched twice";
-  if (world.refused && world.dispatches > 0) return "not-run was false";
+function violationOf(model: ModelState): string {
+  if (model.dispatches > 1) return "dispatched twice";
+  if (model.refused && model.dispatches > 0) return "not-run was false";
   return "";
 }
 
-function steps(world: World, opts: ModelOptions): Step[] {
+function steps(model: ModelState, opts: ModelOptions): Step[] {
   return [
-    ...deliveries(world, opts),
-    ...ownerSteps(world, "first", opts),
-    ...ownerSteps(world, "next", opts),
-    ...otherSteps(world, opts),
+    ...deliveries(model, opts),
+    ...ownerSteps(model, "first", opts),
+    ...ownerSteps(model, "next", opts),
+    ...environmentSteps(model, opts),
   ];
 }
 
-function deliveries(world: World, opts: ModelOptions): Step[] {
-  return world.messages.flatMap((msg, i) => {
-    const once = copy(world);
+function deliveries(model: ModelState, opts: ModelOptions): Step[] {
+  return model.messages.flatMap((msg, i) => {
+    const once = cloneModel(model);
     once.messages.splice(i, 1);
     deliver(once, msg, opts);
     const label = `${msg.kind} of ${msg.owner} arrives`;
-    if (world.repeats === 0) return [{ label, world: once }];
-    const twice = copy(world);
+    if (model.repeats === 0) return [{ label, model: once }];
+    const twice = cloneModel(model);
     twice.repeats -= 1;
     deliver(twice, msg, opts);
-    return [{ label, world: once }, {
-      label: `${label}, to come again`,
-      world: twice,
+    return [{ label, model: once }, {
+      label: `${label}, to be delivered again`,
+      model: twice,
     }];
   });
 }
 
-function deliver(world: World, msg: Message, opts: ModelOptions): void {
-  if (msg.kind === "attempt") return attempt(world, msg.owner, opts);
-  if (msg.kind === "receipt") return receipt(world, msg);
-  if (!world.second.alive) return;
-  const { ledger } = placeOf(world, msg.owner);
-  if (msg.kind === "intent") return intent(world, msg, opts);
+function deliver(model: ModelState, msg: Message, opts: ModelOptions): void {
+  if (msg.kind === "attempt") return attempt(model, msg.owner, opts);
+  if (msg.kind === "receipt") return receipt(model, msg);
+  if (!model.backup.alive) return;
+  const { ledger } = backupOf(model, msg.owner);
+  if (msg.kind === "intent") return intent(model, msg, opts);
   const conclusion = msg.kind === "answer"
     ? { state: "answered" } as const
     : { state: "refused" } as const;
   ledger.conclude(nameIn(opts), msg.run, { conclusion, now: NOW });
 }
 
-function attempt(world: World, name: OwnerName, opts: ModelOptions): void {
-  const owner = world[name];
+function attempt(model: ModelState, name: OwnerName, opts: ModelOptions): void {
+  const owner = model[name];
   if (!owner.alive) return;
-  if (name === "next" && world.takeover !== "clear") return;
+  if (name === "next" && model.takeover !== "clear") return;
   const decision = owner.ledger.begin({
     name: nameIn(opts),
     fingerprint: FINGERPRINT,
@@ -186,21 +186,21 @@
     seat: seatOf(name, opts),
   }, NOW);
   if (decision.kind === "known" && decision.record.state === "refused") {
-    world.refused = true;
+    model.refused = true;
   }
   if (decision.kind !== "start") return;
   if (opts.fault === "second_place_skipped") {
-    world.dispatches += 1;
+    model.dispatches += 1;
     owner.dispatched = decision.run;
   } else owner.waiting = decision.run;
-  world.messages.push(message("intent", name, decision.run));
+  model.messages.push(message("intent", name, decision.run));
 }
 
-function intent(world: World, msg: Message, opts: ModelOptions): void {
+function intent(model: ModelState, msg: Message, opts: ModelOptions): void {
   const seat = opts.fault === "epoch_ignored"
     ? undefined
     : seatOf(msg.owner, opts);
-  const decision = placeOf(world, msg.owner).ledger.intent({
+  const decision = backupOf(model, msg.owner).ledger.intent({
     name: nameIn(opts),
     fingerprint: FINGERPRINT,
     run: msg.run,
@@ -208,54 +208,57 @@
     keepMs: KEEP_MS,
     seat,
   }, NOW);
-  world.messages.push({
+  model.messages.push({
     ...message("receipt", msg.owner, msg.run),
     accepted: decision.accepted,
     state: decision.state,
   });
 }
 
-function placeOf(world: World, owner: OwnerName): { ledger: Ledger } {
-  return owner === "first" ? world.second : world.other;
+function backupOf(model: ModelState, owner: OwnerName): { ledger: Ledger } {
+  return owner === "first" ? model.backup : model.otherBackup;
 }
 
-function receipt(world: World, msg: Message): void {
-  const owner = world[msg.owner];
+function receipt(model: ModelState, msg: Message): void {
+  const owner = model[msg.owner];
   if (!owner.alive || owner.waiting !== msg.run) return;
   owner.waiting = "";
   if (msg.accepted) {
     owner.dispatched = msg.run;
-    world.dispatches += 1;
+    model.dispatches += 1;
     return;
   }
   const state = msg.state === "refused" ? "refused" : "unknown";
   conclude(owner, msg.run, state);
-  if (state === "refused" && msg.owner === "first" && world.takeover === "no") {
-    world.refused = true;
+  if (state === "refused" && msg.owner === "first" && model.takeover === "no") {
+    model.refused = true;
   }
 }
 
 function ownerSteps(
-  world: World,
+  model: ModelState,
   name: OwnerName,
   opts: ModelOptions,
 ): Step[] {
-  const owner = world[name];
+  const owner = model[name];
   if (!owner.alive) return [];
   const found: Step[] = [];
-  const add = (label: string, act: (world: World, owner: Owner) => void) => {
-    const then = copy(world);
-    act(then, then[name]);
-    found.push({ label: `${name} ${label}`, world: then });
+  const add = (
+    label: string,
+    apply: (model: ModelState, owner: Owner) => void,
+  ) => {
+    const after = cloneModel(model);
+    apply(after, after[name]);
+    found.push({ label: `${name} ${label}`, model: after });
   };
   if (owner.waiting) {
-    add("gives up on its second place", (w, o) => {
+    add("gives up on its backup", (w, o) => {
       const run = o.waiting;
       o.waiting = "";
       if (opts.fault !== "refusal_forgotten") conclude(o, run, "refused");
       else o.ledger.conclude(nameIn(opts), run, refusedAt(-KEEP_MS * KEEP_MS));
       if (opts.fault === "refusal_forgotten") o.ledger.expire(NOW);
-      if (opts.world === "token") w.refused = true;
+      if (opts.homeKind === "token") w.refused = true;
       w.messages.push(message("refuse", name, run));
     });
   }
@@ -265,55 +268,55 @@
       w.messages.push(message("answer", name, o.dispatched));
       o.dispatched = "";
     });
-    add("hears that the endpoint did not run it", (w, o) => {
+    add("learns that the endpoint did not run it", (w, o) => {
       conclude(o, o.dispatched, "refused");
       w.messages.push(message("refuse", name, o.dispatched));
       w.dispatches -= 1;
-      if (opts.world === "token") w.refused = true;
+      if (opts.homeKind === "token") w.refused = true;
       o.dispatched = "";
     });
   }
-  add("dies", (_w, o) => {
+  add("crashes", (_w, o) => {
     o.alive = false;
   });
   return found;
 }
 
-function otherSteps(world: World, opts: ModelOptions): Step[] {
+function environmentSteps(model: ModelState, opts: ModelOptions): Step[] {
   const found: Step[] = [];
-  const add = (label: string, act: (world: World) => void) => {
-    const then = copy(world);
-    act(then);
-    found.push({ label, world: then });
+  const add = (label: string, apply: (model: ModelState) => void) => {
+    const after = cloneModel(model);
+    apply(after);
+    found.push({ label, model: after });
   };
-  if (world.second.alive && opts.world === "token") {
-    add("second place dies", (w) => {
-      w.second.alive = false;
+  if (model.backup.alive && opts.homeKind === "token") {
+    add("backup crashes", (w) => {
+      w.backup.alive = false;
     });
   }
-  if (!world.second.alive || world.asks === 0) return found;
-  if (opts.world === "token") add("somebody asks", (w) => ask(w, opts));
-  else if (world.takeover === "no") {
+  if (!model.backup.alive || model.asks === 0) return found;
+  if (opts.homeKind === "token") add("backup fenced", (w) => fence(w, opts));
+  else if (model.takeover === "no") {
     add("next takes the seat over", (w) => takeOver(w, opts));
   }
   return found;
 }
 
-function ask(world: World, opts: ModelOptions): void {
-  world.asks -= 1;
-  const { ledger } = world.second;
+function fence(model: ModelState, opts: ModelOptions): void {
+  model.asks -= 1;
+  const { ledger } = model.backup;
   const view = opts.fault === "fence_skipped"
     ? ledger.view(nameIn(opts))
     : ledger.fence(nameIn(opts), { now: NOW });
-  if (view.state === "refused" || view.state === "none") world.refused = true;
+  if (view.state === "refused" || view.state === "none") model.refused = true;
 }
 
-/** The earlier holder is out of reach, whether it lives or not. */
-function takeOver(world: World, opts: ModelOptions): void {
-  world.asks -= 1;
+/** The earlier holder is unreachable, whether or not it is alive. */
+function takeOver(model: ModelState, opts: ModelOptions): void {
+  model.asks -= 1;
   const seat = seatOf("next", opts);
-  const { state } = world.second.ledger.fence(nameIn(opts), { seat, now: NOW });
-  world.takeover = state === "none" ? "clear" : "known";
+  const { state } = model.backup.ledger.fence(nameIn(opts), { seat, now: NOW });
+  model.takeover = state === "none" ? "clear" : "known";
 }
 
 function conclude(
@@ -331,11 +334,15 @@
 }
 
 function nameIn(opts: ModelOptions): OperationName {
-  return { account: "a", id: "op", scope: opts.world === "token" ? "s" : "" };
+  return {
+    account: "a",
+    id: "op",
+    scope: opts.homeKind === "token" ? "s" : "",
+  };
 }
 
 function seatOf(name: OwnerName, opts: ModelOptions): SeatEpoch | undefined {
-  if (opts.world === "token") return undefined;
+  if (opts.homeKind === "token") return undefined;
   return { zone: "z", index: 0, epoch: name === "first" ? 1 : 2 };
 }
 
@@ -347,21 +354,21 @@
   return { kind, owner, run, accepted: false, state: "" };
 }
 
-function copy(world: World): World {
+function cloneModel(model: ModelState): ModelState {
   const owner = (o: Owner) => ({ ...o, ledger: o.ledger.clone() });
   return {
-    ...world,
-    first: owner(world.first),
-    next: owner(world.next),
-    second: { ...world.second, ledger: world.second.ledger.clone() },
-    other: { ledger: world.other.ledger.clone() },
-    messages: [...world.messages],
+    ...model,
+    first: owner(model.first),
+    next: owner(model.next),
+    backup: { ...model.backup, ledger: model.backup.ledger.clone() },
+    otherBackup: { ledger: model.otherBackup.ledger.clone() },
+    messages: [...model.messages],
   };
 }
 
-/** Two worlds that agree in this go on alike; order of messages is nothing. */
-function keyOfWorld(world: World): string {
-  const { first, next, second, other, messages, ...rest } = world;
+/** Equal keys mean equal continuations; message order does not matter. */
+function modelKey(model: ModelState): string {
+  const { first, next, backup, otherBackup, messages, ...rest } = model;
   const owner = (o: Owner) => [
     o.alive,
     o.waiting,
@@ -371,9 +378,9 @@
   return JSON.stringify([
     owner(first),
     owner(next),
-    second.alive,
-    dump(second.ledger),
-    dump(other.ledger),
+    backup.alive,
+    dump(backup.ledger),
+    dump(otherBackup.ledger),
     messages.map((m) => JSON.stringify(m)).sort(),
     rest,
   ]);
--- a/src/operations/testing/random_run.ts
+++ b/src/operations/testing/random_run.ts
@@ -1,14 +1,19 @@
 /**
- * A randomised run: callers that place and repeat operations while instances
- * die, pause, leave and are cut off, and messages get lost, late and doubled.
+ * A randomised run: callers start and retry operations while instances crash,
+ * pause, leave and are partitioned, and messages are lost, late or duplicated.
  *
  * @module
  */
 import { fail, SeededRandom, sleep } from "../../core/mod.ts";
 import type { RunResult } from "../operations.ts";
-import { answerOf, type Attempt, FakeFleet, type Fate } from "./fake_fleet.ts";
+import {
+  answerOf,
+  type Attempt,
+  type Delivery,
+  FakeFleet,
+} from "./fake_fleet.ts";
 
-/** What a run did and found. */
+/** The counts and violations of a run. */
 export interface RandomRunReport {
   readonly seed: number;
   readonly steps: number;
@@ -24,7 +29,7 @@
 
 interface Operation {
   readonly id: string;
-  readonly plain: boolean;
+  readonly withoutToken: boolean;
   home: string | undefined;
   round: number;
   uncertain: boolean;
@@ -58,7 +63,7 @@
   readonly #fleet: FakeFleet;
   readonly #open: Operation[] = [];
   readonly #deadSince = new Map<string, number>();
-  readonly #homes: ReadonlyMap<string, { zone: string; region: string }>;
+  readonly #locations: ReadonlyMap<string, { zone: string; region: string }>;
   #leaving = 0;
   #count = 0;
   #faults = 0;
@@ -67,9 +72,9 @@
   constructor(seed: number) {
     this.#random = new SeededRandom(seed);
     this.#fleet = new FakeFleet({ seed: seed + 1, zones: ZONES });
-    this.#fleet.onMessage = () => this.#fate();
-    this.#fleet.onDispatch = (d) => this.#work(d.attempt);
-    this.#homes = new Map(
+    this.#fleet.onMessage = () => this.#delivery();
+    this.#fleet.onDispatch = (d) => this.#runAtEndpoint(d.attempt);
+    this.#locations = new Map(
       [...this.#fleet.nodes.values()].map(({ name, zone, region }) =>
         [name, { zone, region }] as const
       ),
@@ -81,26 +86,26 @@
   }
 
   async start(): Promise<void> {
-    await this.#fleet.pass(1_500);
+    await this.#fleet.advance(1_500);
   }
 
   async step(): Promise<void> {
-    const dice = this.#random.next();
-    if (dice < 0.45) this.#place();
-    else if (dice < 0.85) this.#repeat();
-    else if (dice < 0.97) this.#disturb();
-    else await this.#fleet.pass(2_000);
-    await this.#fleet.pass(STEP_MS);
-    this.#settle();
-    this.#takeOver();
+    const roll = this.#random.next();
+    if (roll < 0.45) this.#startOperation();
+    else if (roll < 0.85) this.#retry();
+    else if (roll < 0.97) this.#injectFault();
+    else await this.#fleet.advance(2_000);
+    await this.#fleet.advance(STEP_MS);
+    this.#handleResults();
+    this.#replaceDead();
   }
 
-  /** Mends everything and lets what is under way end. */
+  /** Removes all faults and lets pending work end. */
   async finish(): Promise<void> {
     this.#faultRate = 0;
     this.#fleet.cuts.clear();
     for (const node of this.#fleet.nodes.values()) node.resume();
-    await this.#fleet.pass(10_000);
+    await this.#fleet.advance(10_000);
   }
 
   report(seed: number, steps: number): RandomRunReport {
@@ -124,16 +129,16 @@
     };
   }
 
-  #place(): void {
-    const node = this.#anyNode();
+  #startOperation(): void {
+    const node = this.#randomNode();
     if (node === undefined) return;
-    const plain = this.#random.next() < 0.4;
-    const home = plain
+    const withoutToken = this.#random.next() < 0.4;
+    const home = withoutToken
       ? undefined
-      : this.#fleet.node(node).operations.homeOf(this.#anyNode() ?? node);
+      : this.#fleet.node(node).operations.homeOf(this.#randomNode() ?? node);
     const op: Operation = {
       id: `op-${this.#count++}`,
-      plain: home === undefined,
+      withoutToken: home === undefined,
       home,
       round: 0,
       uncertain: false,
@@ -145,9 +150,9 @@
     this.#send(op, node);
   }
 
-  #repeat(): void {
+  #retry(): void {
     const op = this.#open[this.#random.below(Math.max(1, this.#open.length))];
-    const node = this.#anyNode();
+    const node = this.#randomNode();
     if (op && node) this.#send(op, node);
   }
 
@@ -158,44 +163,44 @@
     op.outstanding.push(this.#fleet.send(node, { id, home, patienceMs }));
   }
 
-  /** What a caller does with what it was told; see the caller library. */
-  #settle(): void {
+  /** Handles results as a caller does; see the caller library. */
+  #handleResults(): void {
     for (const op of this.#open) {
-      const told = op.outstanding.filter((a) => a.result !== undefined);
+      const finished = op.outstanding.filter((a) => a.result !== undefined);
       op.outstanding = op.outstanding.filter((a) => a.result === undefined);
-      for (const { result } of told) {
+      for (const { result } of finished) {
         if (result === undefined) continue;
         if (result.isOk()) op.done = true;
         else if (result.error.outcome !== "not-run") op.uncertain = true;
       }
-      const forGood = told.some((a) =>
+      const refusedAtHome = finished.some((a) =>
         a.result?.isErr() && a.result.error.code === "operation_refused"
       );
-      if (forGood && !op.plain && !op.done) this.#takeNewHome(op);
+      if (refusedAtHome && !op.withoutToken && !op.done) this.#switchHome(op);
     }
   }
 
-  #takeNewHome(op: Operation): void {
-    const node = this.#anyNode();
+  #switchHome(op: Operation): void {
+    const node = this.#randomNode();
     const home = node && this.#fleet.node(node).operations.homeOf(node);
     if (home === undefined) return;
     op.home = home;
     op.round += 1;
     op.uncertain = false;
-    // What is still under way belongs to the old home, where nothing runs.
+    // Attempts still in transit belong to the old home, where nothing runs.
     op.outstanding = [];
   }
 
-  #disturb(): void {
+  #injectFault(): void {
     this.#faults += 1;
-    const name = this.#anyNode();
+    const name = this.#randomNode();
     if (name === undefined) return;
     const node = this.#fleet.node(name);
-    const acts = [
+    const faults = [
       () => this.#kill(name),
       () => node.pause(),
       () => this.#resumeAll(),
-      () => this.#fleet.cut(name, this.#anyNode() ?? name),
+      () => this.#fleet.cut(name, this.#randomNode() ?? name),
       () => this.#fleet.cuts.clear(),
       () => void this.#leave(name),
       () => {
@@ -205,7 +210,7 @@
         this.#fleet.platformDown = !this.#fleet.platformDown;
       },
     ];
-    acts[this.#random.below(acts.length)]?.();
+    faults[this.#random.below(faults.length)]?.();
   }
 
   #kill(name: string): void {
@@ -217,7 +222,7 @@
     for (const node of this.#fleet.nodes.values()) node.resume();
   }
 
-  /** A planned stop: records are handed over, then the process ends. */
+  /** A planned stop: the records are handed over, then the process ends. */
   async #leave(name: string): Promise<void> {
     if (this.#leaving > 0) return;
     this.#leaving += 1;
@@ -230,41 +235,41 @@
     this.#leaving -= 1;
   }
 
-  /** Dead or long paused holders lose their seats; the dead are replaced. */
-  #takeOver(): void {
+  /** Crashed holders lose their seats and are replaced. */
+  #replaceDead(): void {
     const now = this.#fleet.clock.now();
     for (const [name, since] of this.#deadSince) {
       if (now - since < TAKEOVER_MS) continue;
       this.#deadSince.delete(name);
-      const home = this.#homes.get(name);
+      const home = this.#locations.get(name);
       if (home === undefined) continue;
-      const mate = [...this.#homes].find(([n, h]) =>
+      const zonePeer = [...this.#locations].find(([n, h]) =>
         n !== name && h.zone === home.zone && this.#fleet.node(n).alive
       )?.[0];
-      if (mate) this.#fleet.moveSeats(name, mate);
+      if (zonePeer) this.#fleet.moveSeats(name, zonePeer);
       this.#fleet.start(name, home);
-      if (!mate) this.#fleet.moveSeats(name, name);
+      if (!zonePeer) this.#fleet.moveSeats(name, name);
     }
   }
 
-  #anyNode(): string | undefined {
+  #randomNode(): string | undefined {
     const up = [...this.#fleet.nodes.values()]
       .filter((n) => n.alive && !n.paused);
     return up[this.#random.below(Math.max(1, up.length))]?.name;
   }
 
-  #fate(): Fate {
-    const fates: Fate[] = ["lose", "repeat", "late"];
+  #delivery(): Delivery {
+    const deliveries: Delivery[] = ["lose", "repeat", "late"];
     if (this.#random.next() >= this.#faultRate) return "deliver";
     this.#faults += 1;
-    return fates[this.#random.below(fates.length)] ?? "deliver";
+    return deliveries[this.#random.below(deliveries.length)] ?? "deliver";
   }
 
-  async #work(attempt: number): Promise<RunResult> {
-    const dice = this.#random.next();
+  async #runAtEndpoint(attempt: number): Promise<RunResult> {
+    const roll = this.#random.next();
     await sleep(this.#fleet.clock, 10 + this.#random.below(300));
-    if (dice < 0.8) return answerOf(attempt);
-    if (dice < 0.9) {
+    if (roll < 0.8) return answerOf(attempt);
+    if (roll < 0.9) {
       return fail("endpoint_failed", "shed", { outcome: "not-run" });
     }
     return fail("endpoint_failed", "broke off", { outcome: "unknown" });
