--- a/src/gateway/operation_dispatch.ts
+++ b/src/gateway/operation_dispatch.ts
@@ -56,15 +56,15 @@
     this.#deps = deps;
   }
 
-  limitMs(req: OperationRequest): number {
+  maxRunMs(req: OperationRequest): number {
     return this.#policy(req)?.deadlineMs ?? DEFAULT_LIMIT_MS;
   }
 
   /** Tries another endpoint only where the last surely did not run it. */
   async run(req: OperationRequest): Promise<RunResult> {
     const startedAt = this.#deps.clock.now();
-    const until = startedAt + this.limitMs(req);
-    const waitUntil = Math.min(until, startedAt + req.patienceMs);
+    const until = startedAt + this.maxRunMs(req);
+    const waitUntil = Math.min(until, startedAt + req.maxWaitMs);
     const tried = new Set<EndpointId>();
     let last: RunResult = fail("no_capacity", "no try was made", {
       outcome: "not-run",
--- a/src/gateway/operation_dispatch_test.ts
+++ b/src/gateway/operation_dispatch_test.ts
@@ -95,14 +95,14 @@
   return {
     account: "a1" as AccountId,
     id: id as OperationId,
-    generated: false,
+    hasGeneratedId: false,
     fingerprint: "f",
     service: "s1" as ServiceId,
     method: "POST",
     path: `/${id}`,
     headers: {},
     body: new Uint8Array([1]),
-    patienceMs: 5_000,
+    maxWaitMs: 5_000,
   };
 }
 
--- a/src/gateway/operation_request.ts
+++ b/src/gateway/operation_request.ts
@@ -63,14 +63,14 @@
   return ok({
     account,
     id: id.data,
-    generated: given === undefined,
+    hasGeneratedId: given === undefined,
     fingerprint: fingerprintOf(source, body.value),
     service,
     method: req.method,
     path,
     headers: toEndpoint(req.headers),
     body: body.value,
-    patienceMs: deadline - clock.now(),
+    maxWaitMs: deadline - clock.now(),
     ...(typeof home === "string" ? { home } : {}),
   });
 }
--- a/src/instance/entry_lookup.ts
+++ b/src/instance/entry_lookup.ts
@@ -45,7 +45,7 @@
       .find((place) => place !== undefined);
     const instances = entries.choose(near ?? own()).map(
       ({ instance, url, zone, region }) => {
-        const home = operations.homeOf(instance);
+        const home = operations.homeTokenOf(instance);
         return { instance, url, zone, region, ...(home ? { home } : {}) };
       },
     );
--- a/src/operations/home_operations.ts
+++ b/src/operations/home_operations.ts
@@ -144,7 +144,7 @@
   }
 
   run(req: OperationRequest): Promise<RunResult> {
-    if (req.generated) {
+    if (req.hasGeneratedId) {
       return this.#forwarder.withCallerTimeout(req, this.#deps.runner.run(req));
     }
     if (req.home === undefined) return this.#seats.run(req);
@@ -159,7 +159,7 @@
   }
 
   /** The home token that lookups return for an instance; undefined if none. */
-  homeOf(instance: string): string | undefined {
+  homeTokenOf(instance: string): string | undefined {
     if (instance === this.#deps.self.instance) return this.#tokens.ownToken();
     const peer = this.#replicas.byInstance(instance);
     if (peer === undefined || !this.#replicas.usable(peer)) return undefined;
--- a/src/operations/home_operations_test.ts
+++ b/src/operations/home_operations_test.ts
@@ -29,7 +29,7 @@
 async function makeSetup(): Promise<Setup> {
   const fleet = new FakeFleet();
   await fleet.advance(300);
-  const home = fleet.node(ZONE_PEER).operations.homeOf(OWNER) ?? "";
+  const home = fleet.node(ZONE_PEER).operations.homeTokenOf(OWNER) ?? "";
   const second = home.split("~")[2] ?? "";
   const elsewhere = second === "r1-b-1" ? "r1-b-2" : "r1-b-1";
   return { fleet, home, second, elsewhere };
@@ -446,7 +446,7 @@
 test("a full ledger refuses new operations and evicts none", async (t) => {
   const fleet = new FakeFleet({ limits: { maxRecords: 4 } });
   await fleet.advance(300);
-  const home = fleet.node(OWNER).operations.homeOf(OWNER);
+  const home = fleet.node(OWNER).operations.homeTokenOf(OWNER);
   const first = ["1", "2", "3", "4"].map((id) =>
     fleet.send(OWNER, { id, home })
   );
@@ -470,7 +470,7 @@
 test("an attempt with an expired home token never starts a run", async (t) => {
   const fleet = new FakeFleet({ limits: { retentionMs: 700_000 } });
   await fleet.advance(300);
-  const home = fleet.node(OWNER).operations.homeOf(OWNER);
+  const home = fleet.node(OWNER).operations.homeTokenOf(OWNER);
   fleet.clock.advance(TOKEN_TTL_MS + 1);
   await fleet.advance(200);
   const late = fleet.send(OWNER, { id: "op", home });
--- a/src/operations/operation_forwarder.ts
+++ b/src/operations/operation_forwarder.ts
@@ -65,11 +65,11 @@
       path: req.path,
       headers: { ...req.headers },
       body: req.body,
-      remainingMs: req.patienceMs,
+      remainingMs: req.maxWaitMs,
       attempt: random.hex(ATTEMPT_BYTES),
     });
     metrics.count("operations.forwarded");
-    const timeoutMs = Math.ceil(req.patienceMs) + RESPONSE_GRACE_MS;
+    const timeoutMs = Math.ceil(req.maxWaitMs) + RESPONSE_GRACE_MS;
     const res = await transport.forward(to.peerUrl, msg, timeoutMs);
     if (res.isErr()) return err(res.error);
     if (!res.value.gone) return ok(runResultFromWire(res.value));
@@ -83,7 +83,7 @@
   ): Promise<RunResult> {
     return new Promise((resolve, reject) => {
       const timer = this.#deps.clock.after(
-        Math.max(0, req.patienceMs),
+        Math.max(0, req.maxWaitMs),
         () => resolve(deadlineExceeded()),
       );
       run.then(resolve, reject).finally(() => timer.close());
@@ -104,13 +104,13 @@
     account: msg.account as AccountId,
     id: msg.id as OperationId,
     fingerprint: msg.fingerprint,
-    generated: false,
+    hasGeneratedId: false,
     service: msg.service as ServiceId,
     method: msg.method,
     path: msg.path,
     headers: msg.headers,
     body: msg.body,
-    patienceMs: msg.remainingMs,
+    maxWaitMs: msg.remainingMs,
     ...(msg.home === "" ? {} : { home: msg.home }),
   };
 }
--- a/src/operations/operations.ts
+++ b/src/operations/operations.ts
@@ -26,7 +26,7 @@
 /** The complete request for an endpoint, whichever instance sends it. */
 export interface OperationRequest extends OperationKey {
   /** Whether this instance generated the id, so that no retry can carry it. */
-  readonly generated: boolean;
+  readonly hasGeneratedId: boolean;
   readonly service: ServiceId;
   readonly method: string;
   readonly path: string;
@@ -34,7 +34,7 @@
   readonly headers: Headers;
   readonly body: Uint8Array;
   /** How long the caller will still wait, in milliseconds. */
-  readonly patienceMs: number;
+  readonly maxWaitMs: number;
 }
 
 /** An endpoint's complete response, as recorded. */
@@ -50,7 +50,7 @@
 /** Dispatches an operation to an endpoint. */
 export interface OperationRunner {
   /** Upper bound on the duration of a run, in milliseconds. */
-  limitMs(req: OperationRequest): number;
+  maxRunMs(req: OperationRequest): number;
   /** Runs the operation within `limitMs`, even if no caller waits any more. */
   run(req: OperationRequest): Promise<RunResult>;
 }
--- a/src/operations/owned_operations.ts
+++ b/src/operations/owned_operations.ts
@@ -82,7 +82,7 @@
       fingerprint: req.fingerprint,
       owner: self.incarnation,
       seat: ownership.seat,
-      keepMs: runner.limitMs(req) + ledger.limits.retentionMs,
+      keepMs: runner.maxRunMs(req) + ledger.limits.retentionMs,
     };
     const decision = ledger.begin(entry, clock.now());
     if (decision.kind === "mismatch") return Promise.resolve(idReused());
@@ -143,8 +143,8 @@
       const late = this.#notRun(intent, "this instance was paused or replaced");
       return this.#refuse(intent, late, replica);
     }
-    const patienceMs = req.patienceMs - recordMs;
-    const result = await this.#dispatch({ ...req, patienceMs });
+    const patienceMs = req.maxWaitMs - recordMs;
+    const result = await this.#dispatch({ ...req, maxWaitMs: patienceMs });
     this.#conclude(intent, conclusionOf(result), replica);
     return result;
   }
--- a/src/operations/seat_home_router_test.ts
+++ b/src/operations/seat_home_router_test.ts
@@ -239,7 +239,7 @@
 test("a lone instance uses the store as backup", async (t) => {
   const fleet = new FakeFleet({ zones: [["r1", "r1-a"]], perZone: 1 });
   await fleet.advance(200);
-  const home = fleet.node("r1-a-1").operations.homeOf("r1-a-1");
+  const home = fleet.node("r1-a-1").operations.homeTokenOf("r1-a-1");
   const first = fleet.send("r1-a-1", { id: "1", home });
   const plain = fleet.send("r1-a-1", { id: "2" });
   await fleet.advance(300);
@@ -262,7 +262,7 @@
   const fleet = new FakeFleet({ zones: [["r1", "r1-a"]], perZone: 1 });
   await fleet.advance(200);
   const lone = fleet.node("r1-a-1");
-  const home = lone.operations.homeOf("r1-a-1");
+  const home = lone.operations.homeTokenOf("r1-a-1");
   fleet.send("r1-a-1", { id: "ran", home });
   await fleet.advance(300);
   lone.pause();
@@ -290,7 +290,7 @@
   const fleet = new FakeFleet();
   await fleet.advance(1_500);
   const names = [...fleet.nodes.keys()];
-  const homes = names.map((n) => fleet.node(n).operations.homeOf(n));
+  const homes = names.map((n) => fleet.node(n).operations.homeTokenOf(n));
   homes.forEach((home, i) => fleet.send(names[i] ?? "", { id: `t${i}`, home }));
   names.forEach((n, i) => fleet.send(n, { id: `p${i}` }));
   await fleet.advance(500);
--- a/src/operations/testing/fake_fleet.ts
+++ b/src/operations/testing/fake_fleet.ts
@@ -150,7 +150,7 @@
         held: () => fleet.held(this),
       },
       runner: {
-        limitMs: () => MAX_RUN_MS,
+        maxRunMs: () => MAX_RUN_MS,
         run: (req) => fleet.dispatch(this, req),
       },
       limits,
@@ -408,14 +408,14 @@
     const result = await node.operations.run({
       account: "a1" as AccountId,
       id: attempt.id as OperationId,
-      generated: false,
+      hasGeneratedId: false,
       fingerprint: opts.body ?? "same",
       service: "s1" as ServiceId,
       method: "POST",
       path: "/",
       headers: { "x-attempt": String(attempt.number) },
       body: new Uint8Array(),
-      patienceMs: opts.patienceMs ?? MAX_RUN_MS,
+      maxWaitMs: opts.patienceMs ?? MAX_RUN_MS,
       ...(attempt.home ? { home: attempt.home } : {}),
     });
     await node.waitUntilRunning();
--- a/src/operations/testing/random_run.ts
+++ b/src/operations/testing/random_run.ts
@@ -135,7 +135,9 @@
     const withoutToken = this.#random.next() < 0.4;
     const home = withoutToken
       ? undefined
-      : this.#fleet.node(node).operations.homeOf(this.#randomNode() ?? node);
+      : this.#fleet.node(node).operations.homeTokenOf(
+        this.#randomNode() ?? node,
+      );
     const op: Operation = {
       id: `op-${this.#count++}`,
       withoutToken: home === undefined,
@@ -182,7 +184,7 @@
 
   #switchHome(op: Operation): void {
     const node = this.#randomNode();
-    const home = node && this.#fleet.node(node).operations.homeOf(node);
+    const home = node && this.#fleet.node(node).operations.homeTokenOf(node);
     if (home === undefined) return;
     op.home = home;
     op.round += 1;
--- a/src/operations/token_home_router.ts
+++ b/src/operations/token_home_router.ts
@@ -68,7 +68,7 @@
     const { clock, forwarder, history, replicas } = this.#deps;
     const own = this.own(req, home);
     if (own) return await own;
-    const deadline = clock.now() + req.patienceMs;
+    const deadline = clock.now() + req.maxWaitMs;
     const next = history.resolve(home.owner);
     if (next !== home.owner) return await this.#query(req, { home, at: next });
     const owner = replicas.find(home.owner);
--- a/tools/operations/second_place_latency.ts
+++ b/tools/operations/second_place_latency.ts
@@ -69,7 +69,7 @@
 });
 const endpoints = new HttpEndpointClient();
 const store = await StoreServer.open();
-const runner: OperationRunner = { limitMs: () => 5_000, run: send };
+const runner: OperationRunner = { maxRunMs: () => 5_000, run: send };
 
 async function send(req: OperationRequest) {
   const answer = await endpoints.send({
@@ -168,14 +168,14 @@
   const result = await variant.operations.run({
     account: "a1" as AccountId,
     id: `op-${count++}` as OperationId,
-    generated: false,
+    hasGeneratedId: false,
     fingerprint: "f",
     service: "s1" as ServiceId,
     method: "POST",
     path: "/work",
     headers: {},
     body: new TextEncoder().encode("x".repeat(200)),
-    patienceMs: 5_000,
+    maxWaitMs: 5_000,
     ...(home ? { home } : {}),
   });
   if (result.isErr()) {
@@ -216,7 +216,7 @@
 const [first, second] = nodes as [Node, Node];
 const timer = setInterval(() => exchange(nodes), BATCH_EVERY_MS);
 exchange(nodes);
-const home = () => first.operations.homeOf("i1");
+const home = () => first.operations.homeTokenOf("i1");
 const variants: Variant[] = [
   {
     name: "local",
@@ -228,7 +228,7 @@
   {
     name: "store",
     operations: lone.operations,
-    home: () => lone.operations.homeOf("i3"),
+    home: () => lone.operations.homeTokenOf("i3"),
     every: STORE_EVERY,
   },
 ];
