--- a/src/operations/home_operations_test.ts
+++ b/src/operations/home_operations_test.ts
@@ -323,7 +323,7 @@
     let n = 0;
     fleet.onMessage = (m) =>
       m.kind === "forward" ? delivery(m, n++) : "deliver";
-    const a = fleet.send(elsewhere, { id: "op", home, patienceMs: 1_000 });
+    const a = fleet.send(elsewhere, { id: "op", home, maxWaitMs: 1_000 });
     await fleet.advance(1_500);
     const b = fleet.send(elsewhere, { id: "op", home });
     await fleet.advance(5_000);
@@ -409,7 +409,7 @@
     await sleep(fleet.clock, 1_500);
     return answerOf(d.attempt);
   };
-  const first = fleet.send(OWNER, { id: "op", home, patienceMs: 200 });
+  const first = fleet.send(OWNER, { id: "op", home, maxWaitMs: 200 });
   await fleet.advance(400);
   const joined = fleet.send(elsewhere, { id: "op", home });
   await fleet.advance(2_000);
--- a/src/operations/operations.ts
+++ b/src/operations/operations.ts
@@ -51,7 +51,7 @@
 export interface OperationRunner {
   /** Upper bound on the duration of a run, in milliseconds. */
   maxRunMs(req: OperationRequest): number;
-  /** Runs the operation within `limitMs`, even if no caller waits any more. */
+  /** Runs the operation within `maxRunMs`, even if no caller waits any more. */
   run(req: OperationRequest): Promise<RunResult>;
 }
 
--- a/src/operations/owned_operations.ts
+++ b/src/operations/owned_operations.ts
@@ -143,8 +143,8 @@
       const late = this.#notRun(intent, "this instance was paused or replaced");
       return this.#refuse(intent, late, replica);
     }
-    const patienceMs = req.maxWaitMs - recordMs;
-    const result = await this.#dispatch({ ...req, maxWaitMs: patienceMs });
+    const maxWaitMs = req.maxWaitMs - recordMs;
+    const result = await this.#dispatch({ ...req, maxWaitMs });
     this.#conclude(intent, conclusionOf(result), replica);
     return result;
   }
--- a/src/operations/testing/fake_fleet.ts
+++ b/src/operations/testing/fake_fleet.ts
@@ -289,7 +289,7 @@
     opts: {
       id: string;
       home?: string | undefined;
-      patienceMs?: number;
+      maxWaitMs?: number;
       body?: string;
     },
   ): Attempt {
@@ -401,7 +401,7 @@
   async #send(
     node: FakeNode,
     attempt: Attempt,
-    opts: { patienceMs?: number; body?: string },
+    opts: { maxWaitMs?: number; body?: string },
   ): Promise<void> {
     if (!node.alive) return;
     await node.waitUntilRunning();
@@ -415,7 +415,7 @@
       path: "/",
       headers: { "x-attempt": String(attempt.number) },
       body: new Uint8Array(),
-      maxWaitMs: opts.patienceMs ?? MAX_RUN_MS,
+      maxWaitMs: opts.maxWaitMs ?? MAX_RUN_MS,
       ...(attempt.home ? { home: attempt.home } : {}),
     });
     await node.waitUntilRunning();
--- a/src/operations/testing/ledger_model.ts
+++ b/src/operations/testing/ledger_model.ts
@@ -68,7 +68,7 @@
   refused: boolean;
   repeats: number;
   asks: number;
-  /** The result of the second owner's query. */
+  /** Whether the second owner has queried, and if it found a record. */
   takeover: "no" | "clear" | "known";
 }
 
--- a/src/operations/testing/random_run.ts
+++ b/src/operations/testing/random_run.ts
@@ -160,9 +160,9 @@
 
   #send(op: Operation, node: string): void {
     const home = op.home && op.round > 0 ? `${op.home}~${op.round}` : op.home;
-    const patienceMs = 100 + this.#random.below(2_000);
+    const maxWaitMs = 100 + this.#random.below(2_000);
     const { id } = op;
-    op.outstanding.push(this.#fleet.send(node, { id, home, patienceMs }));
+    op.outstanding.push(this.#fleet.send(node, { id, home, maxWaitMs }));
   }
 
   /** Handles results as a caller does; see the caller library. */
