--- a/src/membership/duty.ts
+++ b/src/membership/duty.ts
@@ -1,15 +1,15 @@
 /**
- * Which member of a zone carries out a duty that the zone needs done once.
+ * Chooses the instance of a zone that performs a task by rendezvous hashing.
  *
- * Members may see different lists for a moment and both do it, so a duty given
- * out this way must be harmless when done twice.
+ * Members may briefly see different lists, and two may then perform the task,
+ * so it must be idempotent.
  *
  * @module
  */
 import { sha256 } from "../document/mod.ts";
 
 /**
- * Picks by rendezvous hashing: when a member goes, only its duties move.
+ * The member that performs a task; when a member leaves, only its tasks move.
  *
  * @example
  * ```ts
@@ -17,16 +17,19 @@
  * ```
  */
 export function dutyHolder(
-  duty: string,
+  task: string,
   members: readonly string[],
 ): string | undefined {
-  return rankFor(duty, members)[0];
+  return rendezvousOrder(task, members)[0];
 }
 
-/** Members in the order in which they would take the duty. */
-export function rankFor(duty: string, members: readonly string[]): string[] {
+/** Members in the order in which they would perform the task. */
+export function rendezvousOrder(
+  task: string,
+  members: readonly string[],
+): string[] {
   return members
-    .map((member) => ({ member, weight: sha256(`${duty} ${member}`) }))
+    .map((member) => ({ member, weight: sha256(`${task} ${member}`) }))
     .sort((a, b) => a.weight < b.weight ? 1 : -1)
     .map((m) => m.member);
 }
--- a/src/membership/leased_seats.ts
+++ b/src/membership/leased_seats.ts
@@ -1,7 +1,7 @@
 /**
- * Seats held by lease: one table a zone in the store, renewed for all of the
- * zone's instances by one of them, prolonged by promises between them while
- * the store cannot be reached.
+ * Seat leases: the store holds one seat table per zone, and one instance of
+ * the zone renews it for all. While the store is unreachable, promises between
+ * the zone's instances extend the leases.
  *
  * @module
  */
@@ -25,26 +25,26 @@
 import type { Batch, Sender } from "../gen/peer_pb.ts";
 import type { PeerSubsystem } from "../peers/mod.ts";
 import type { Platform } from "../store/mod.ts";
-import { rankFor } from "./duty.ts";
-import { leaseOn, PromiseBook } from "./seat_lease.ts";
+import { rendezvousOrder } from "./duty.ts";
+import { currentLease, SeatPromiseTable } from "./seat_lease.ts";
 import { fromMessage, toMessage } from "./seat_messages.ts";
 import { SeatObserver } from "./seat_observer.ts";
-import { planSeats, quietMs, type SeatPlan } from "./seat_plan.ts";
+import { planSeats, type SeatPlan, takeoverDelayMs } from "./seat_plan.ts";
 import { SeatStore, type StoredTable } from "./seat_store.ts";
 import {
-  type Ask,
   EMPTY_TABLE,
   type Holder,
   holdersOf,
+  type RenewalRequest,
   sameHolder,
   seatCount,
 } from "./seat_table.ts";
 import { SEAT_TIMING, type SeatTiming, settleMs } from "./seat_timing.ts";
 import type { HeldSeat, SeatDirectory, SeatEntry } from "./seats.ts";
-import { ZoneMates } from "./zone_mates.ts";
-import { ZoneTables } from "./zone_tables.ts";
+import { ZonePeerTable } from "./zone_peer_table.ts";
+import { RemoteSeatTables } from "./remote_seat_tables.ts";
 
-/** What leased seats need. */
+/** Dependencies of `LeasedSeats`. */
 export interface LeasedSeatsDeps {
   readonly instance: InstanceId;
   readonly zone: ZoneId;
@@ -57,39 +57,39 @@
   readonly timing?: SeatTiming;
 }
 
-/** A conditional write whose effect is not known yet. */
-interface Attempt {
+/** A conditional write whose outcome is not known yet. */
+interface PendingWrite {
   readonly base: number;
-  /** Seats it would take from this instance. */
-  readonly given: readonly number[];
-  /** Seats it would take from others. */
+  /** Seats that the write transfers from this instance. */
+  readonly released: readonly number[];
+  /** Seats that the write takes over from other instances. */
   readonly taken: readonly number[];
 }
 
 const MAX_BACKOFF_MS = 16_000;
-const HAND_OVER_TRIES = 5;
+const MAX_HAND_OVER_ATTEMPTS = 5;
 
-/** Seats by lease. */
+/** Holds seats by lease and takes part in renewing those of the zone. */
 export class LeasedSeats implements SeatDirectory, PeerSubsystem {
   readonly #deps: LeasedSeatsDeps;
   readonly #timing: SeatTiming;
   readonly #self: Holder;
   readonly #store: SeatStore;
   readonly #observer = new SeatObserver();
-  readonly #promises = new PromiseBook();
-  readonly #mates = new ZoneMates();
-  readonly #others = new ZoneTables();
-  /** How new each peer's copies are, by what it last told. */
-  readonly #known = new Map<string, ReadonlyMap<string, number>>();
-  /** Own seats that are no longer used, and since when. */
-  readonly #giving = new Map<number, number>();
+  readonly #promises = new SeatPromiseTable();
+  readonly #zonePeers = new ZonePeerTable();
+  readonly #remoteTables = new RemoteSeatTables();
+  /** Revisions of the table copies that each peer last reported, by zone. */
+  readonly #peerRevisions = new Map<string, ReadonlyMap<string, number>>();
+  /** Own seats that are no longer used, with the time at which use stopped. */
+  readonly #releasing = new Map<number, number>();
   #stored: StoredTable = { table: EMPTY_TABLE, version: undefined };
-  #attempts: Attempt[] = [];
-  #everRead = false;
-  #busy = false;
+  #pendingWrites: PendingWrite[] = [];
+  #loaded = false;
+  #calling = false;
   #leaving = false;
-  #failures = 0;
-  #nextTryAt = -Infinity;
+  #consecutiveFailures = 0;
+  #retryAt = -Infinity;
   #startedAt: number | undefined;
   #observedAt = -Infinity;
 
@@ -103,10 +103,10 @@
   held(now: number): HeldSeat[] {
     const { table } = this.#stored;
     const zone = this.#deps.zone;
-    const blocked = this.#unusable();
+    const excluded = this.#excludedSeats();
     return table.rows.slice(0, this.#seats()).flatMap((_row, index) => {
-      if (blocked.has(index)) return [];
-      const lease = leaseOn(table, index, {
+      if (excluded.has(index)) return [];
+      const lease = currentLease(table, index, {
         self: this.#self,
         promises: this.#promises,
         timing: this.#timing,
@@ -118,7 +118,7 @@
 
   entries(): SeatEntry[] {
     const own = [this.#deps.zone as string, this.#stored] as const;
-    return [own, ...this.#others.entries()].flatMap(([zone, { table }]) =>
+    return [own, ...this.#remoteTables.entries()].flatMap(([zone, { table }]) =>
       table.rows.map((row, index) => ({
         zone: zone as ZoneId,
         index,
@@ -129,33 +129,33 @@
     );
   }
 
-  /** Each tick: renews, takes over, gives away; one store call at a time. */
+  /** Renews, takes and hands over seats; makes one store call at a time. */
   run(now: number): void {
     this.#startedAt ??= now;
-    this.#mates.forget(now, this.#timing.holdMs);
+    this.#zonePeers.evictIdle(now, this.#timing.holdMs);
     this.#deps.metrics.gauge("seats.held", this.held(now).length);
-    if (this.#seats() === 0 || this.#busy || now < this.#nextTryAt) return;
-    if (!this.#everRead) return void this.#read();
-    this.#chooseGiving(now);
+    if (this.#seats() === 0 || this.#calling || now < this.#retryAt) return;
+    if (!this.#loaded) return void this.#read();
+    this.#rebalance(now);
     const plan = this.#plan(now);
-    if (this.#due(plan, now)) void this.#write(plan);
+    if (this.#shouldWrite(plan, now)) void this.#write(plan);
   }
 
-  /** Seats go to zone-mates from now on; none is taken any more. */
+  /** From now on, takes no seats and hands its own over to zone peers. */
   leave(): void {
     this.#leaving = true;
   }
 
   /**
-   * Gives every seat away; call it when no work runs on them any more. Comes
-   * back when the store has it, or after a few tries.
+   * Hands over every seat; call it once no requests run on them. Resolves when
+   * the store has recorded it or after `MAX_HAND_OVER_ATTEMPTS` writes.
    */
   async handOver(): Promise<void> {
     this.#leaving = true;
-    for (let i = 0; i < HAND_OVER_TRIES; i++) {
+    for (let i = 0; i < MAX_HAND_OVER_ATTEMPTS; i++) {
       const { rows } = this.#stored.table;
       rows.forEach((row, index) => {
-        if (sameHolder(row, this.#self)) this.#giving.set(index, -Infinity);
+        if (sameHolder(row, this.#self)) this.#releasing.set(index, -Infinity);
       });
       if (seatCount(rows, this.#self) === 0) return;
       await this.#write(this.#plan(this.#deps.clock.now()));
@@ -168,7 +168,7 @@
     const part: MembershipPart = create(MembershipPartSchema, {
       askedMs: Math.floor(now),
       seatsSeen: table.revision,
-      digests: this.#others.digests(),
+      digests: this.#remoteTables.digests(),
     });
     part.digests.push(
       create(SeatDigestSchema, {
@@ -176,15 +176,15 @@
         known: table.revision,
       }),
     );
-    const mate = this.#mates.latest(to);
-    if (mate) part.promise = this.#promiseTo(mate);
-    const known = this.#known.get(to) ?? new Map<string, number>();
+    const peer = this.#zonePeers.latest(to);
+    if (peer) part.promise = this.#promiseTo(peer);
+    const known = this.#peerRevisions.get(to) ?? new Map<string, number>();
     const own = known.get(this.#deps.zone) ?? 0;
-    const newest = mate ? table.revision : table.shape;
+    const newest = peer ? table.revision : table.shape;
     if (version !== undefined && newest > own) {
       part.tables.push(toMessage(this.#deps.zone, this.#stored));
     }
-    for (const [zone, stored] of this.#others.newerThan(known)) {
+    for (const [zone, stored] of this.#remoteTables.newerThan(known)) {
       part.tables.push(toMessage(zone, stored));
     }
     batch.membership = part;
@@ -194,7 +194,7 @@
     const part = batch.membership;
     if (part === undefined) return;
     const now = this.#deps.clock.now();
-    this.#known.set(
+    this.#peerRevisions.set(
       from.instance,
       new Map(part.digests.map((d) => [d.zone, d.known])),
     );
@@ -202,10 +202,10 @@
       const stored = fromMessage(message);
       if (stored === undefined) continue;
       if (message.zone === this.#deps.zone) this.#observe(stored, now);
-      else this.#others.adopt(message.zone, stored);
+      else this.#remoteTables.put(message.zone, stored);
     }
     if (from.zone !== this.#deps.zone) return;
-    this.#mates.absorb(from, part, now);
+    this.#zonePeers.receive(from, part, now);
     const { promise } = part;
     if (promise && promise.incarnation === this.#self.incarnation) {
       const by = { holder: from.instance, incarnation: from.incarnation };
@@ -222,132 +222,134 @@
   }
 
   /**
-   * Seats that are being given away, or that a write of unknown effect gives
-   * away: the write may land any time later, and the seat is then another's.
+   * Seats being released, now or by a write of unknown outcome: the write may
+   * take effect later, and the seat then belongs to another instance.
    */
-  #unusable(): Set<number> {
-    const given = this.#attempts.flatMap((a) => a.given);
-    return new Set([...this.#giving.keys(), ...given]);
+  #excludedSeats(): Set<number> {
+    const released = this.#pendingWrites.flatMap((a) => a.released);
+    return new Set([...this.#releasing.keys(), ...released]);
   }
 
   #observe(stored: StoredTable, now: number): void {
     if (stored.table.revision <= this.#stored.table.revision) return;
     this.#stored = stored;
-    this.#everRead = true;
+    this.#loaded = true;
     this.#observedAt = now;
     this.#observer.observe(stored.table, now);
-    this.#promises.keep(holdersOf(stored.table));
-    this.#attempts = this.#attempts.filter((a) =>
+    this.#promises.retain(holdersOf(stored.table));
+    this.#pendingWrites = this.#pendingWrites.filter((a) =>
       a.base >= stored.table.revision
     );
-    for (const index of this.#giving.keys()) {
+    for (const index of this.#releasing.keys()) {
       const row = stored.table.rows[index];
-      if (!row || !sameHolder(row, this.#self)) this.#giving.delete(index);
+      if (!row || !sameHolder(row, this.#self)) this.#releasing.delete(index);
     }
   }
 
   /**
-   * A promise names only seats that this instance has not tried to take: a
-   * take-over of unknown effect may already stand in the store. Who leaves
-   * takes none any more; without its last word the others' seats would shrink
-   * to the floor when it leaves while the store is down.
+   * A promise omits seats that this instance has tried to take over, since a
+   * write of unknown outcome may already be in the store. A leaving instance
+   * takes no more seats, so its promise is final; without that, the others'
+   * seats would shrink to the floor if it leaves during a store outage.
    */
-  #promiseTo(mate: Ask) {
-    const taken = this.#attempts.flatMap((a) => a.taken);
+  #promiseTo(peer: RenewalRequest) {
+    const taken = this.#pendingWrites.flatMap((a) => a.taken);
     const seats = this.#stored.table.rows.flatMap((row, index) =>
-      sameHolder(row, mate) && !taken.includes(index)
+      sameHolder(row, peer) && !taken.includes(index)
         ? [create(SeatNameSchema, { index, epoch: row.epoch })]
         : []
     );
-    const { incarnation, askedMs } = mate;
+    const { incarnation, askedMs } = peer;
     const final = this.#leaving;
     return create(SeatPromiseSchema, { incarnation, askedMs, seats, final });
   }
 
-  #ask(now: number): Ask {
+  #renewalRequest(now: number): RenewalRequest {
     const seen = this.#stored.table.revision;
     return { ...this.#self, askedMs: Math.floor(now), seen };
   }
 
-  #settleMs(): number {
+  #maxInFlightMs(): number {
     return settleMs(this.#deps.document());
   }
 
   #plan(now: number): SeatPlan {
-    const mates = this.#mates.live(now);
-    const settle = this.#settleMs();
-    const quiet = quietMs(this.#timing, settle);
-    const givable = [...this.#giving].filter(([, since]) =>
-      now - since >= settle
+    const zonePeers = this.#zonePeers.live(now);
+    const inFlightMs = this.#maxInFlightMs();
+    const delayMs = takeoverDelayMs(this.#timing, inFlightMs);
+    const releasable = [...this.#releasing].filter(([, since]) =>
+      now - since >= inFlightMs
     );
     return planSeats({
       table: this.#stored.table,
       observer: this.#observer,
-      self: this.#ask(now),
+      self: this.#renewalRequest(now),
       leaving: this.#leaving,
-      mates: mates.filter((m) => !m.leaving),
-      departing: mates.filter((m) => m.leaving),
-      givable: new Set(givable.map(([index]) => index)),
-      promised: (holder) => this.#mates.heardAt(holder) + quiet > now,
+      zonePeers: zonePeers.filter((m) => !m.leaving),
+      leavingPeers: zonePeers.filter((m) => m.leaving),
+      releasable: new Set(releasable.map(([index]) => index)),
+      isPromised: (holder) => this.#zonePeers.heardAt(holder) + delayMs > now,
       seats: this.#seats(),
-      settleMs: settle,
+      maxInFlightMs: inFlightMs,
       timing: this.#timing,
       now,
     });
   }
 
-  /** The fullest holder stops using one seat for a mate that has two fewer. */
-  #chooseGiving(now: number): void {
+  /** The holder of most seats releases one for a peer with two fewer. */
+  #rebalance(now: number): void {
     const { rows } = this.#stored.table;
-    const mates = this.#mates.live(now).filter((m) => !m.leaving);
+    const zonePeers = this.#zonePeers.live(now).filter((m) => !m.leaving);
     const own = seatCount(rows, this.#self);
-    const counts = mates.map((m) => seatCount(rows, m));
-    const fullest = counts.every((n) => n <= own);
-    const wanted = fullest && counts.some((n) => n + 2 <= own);
-    if (!wanted) this.#giving.clear();
-    else if (this.#giving.size === 0) {
+    const counts = zonePeers.map((m) => seatCount(rows, m));
+    const holdsMost = counts.every((n) => n <= own);
+    const imbalanced = holdsMost && counts.some((n) => n + 2 <= own);
+    if (!imbalanced) this.#releasing.clear();
+    else if (this.#releasing.size === 0) {
       const index = rows.findLastIndex((r) => sameHolder(r, this.#self));
-      this.#giving.set(index, now);
+      this.#releasing.set(index, now);
     }
   }
 
-  /** Whether the plan is this instance's to write, now. */
-  #due(plan: SeatPlan, now: number): boolean {
+  /** Whether this instance should write the plan now. */
+  #shouldWrite(plan: SeatPlan, now: number): boolean {
     const { zone, instance } = this.#deps;
-    const { renewMs, standInMs } = this.#timing;
-    const mates = this.#mates.live(now).map((m) => m.holder);
-    const rank = rankFor(`seats ${zone}`, [...new Set([...mates, instance])]);
-    const turn = rank.indexOf(instance);
+    const { renewMs, failoverStepMs } = this.#timing;
+    const zonePeers = this.#zonePeers.live(now).map((m) => m.holder);
+    const order = rendezvousOrder(`seats ${zone}`, [
+      ...new Set([...zonePeers, instance]),
+    ]);
+    const position = order.indexOf(instance);
     const silentMs = now - Math.max(this.#observedAt, this.#startedAt ?? now);
-    if (plan.urgent && turn === 0) return true;
-    if (plan.own && silentMs >= standInMs) return true;
+    if (plan.urgent && position === 0) return true;
+    if (plan.own && silentMs >= failoverStepMs) return true;
     if (plan.taken.length > 0) return true;
-    return silentMs >= renewMs + turn * standInMs;
+    return silentMs >= renewMs + position * failoverStepMs;
   }
 
   async #read(): Promise<void> {
-    await this.#call(async () => {
+    await this.#runStoreCall(async () => {
       const read = await this.#store.read();
       if (read.isErr()) return read.error;
-      this.#everRead = true;
+      this.#loaded = true;
       this.#observe(read.value, this.#deps.clock.now());
       return undefined;
     });
   }
 
-  /** Writes the plan; what stands after a conflict is read at once. */
+  /** Writes the plan, and reads the stored table at once if the write fails. */
   async #write(plan: SeatPlan): Promise<void> {
     const { table, version } = this.#stored;
-    const given = [...this.#giving.keys()];
+    const released = [...this.#releasing.keys()];
     const taken = [...plan.taken];
-    if (given.length + taken.length > 0) {
-      this.#attempts.push({ base: table.revision, given, taken });
+    if (released.length + taken.length > 0) {
+      this.#pendingWrites.push({ base: table.revision, released, taken });
     }
     for (const index of taken) {
       this.#deps.log.event("seat_taken_over", { index });
       this.#deps.metrics.count("seats.takeovers");
     }
-    await this.#call(async () => {
+    await this.#runStoreCall(async () => {
       const written = await this.#store.write(plan.table, version);
       if (written.isOk()) {
         this.#observe(written.value, this.#deps.clock.now());
@@ -360,14 +362,16 @@
     });
   }
 
-  async #call(run: () => Promise<Failure | undefined>): Promise<void> {
-    this.#busy = true;
+  async #runStoreCall(run: () => Promise<Failure | undefined>): Promise<void> {
+    this.#calling = true;
     const failure = await run();
-    this.#busy = false;
-    this.#failures = failure ? this.#failures + 1 : 0;
+    this.#calling = false;
+    this.#consecutiveFailures = failure ? this.#consecutiveFailures + 1 : 0;
     if (failure === undefined) return;
     this.#deps.log.event("seats_store_failed", { code: failure.code });
-    const wait = this.#timing.renewMs * 2 ** Math.min(this.#failures - 1, 10);
-    this.#nextTryAt = this.#deps.clock.now() + Math.min(MAX_BACKOFF_MS, wait);
+    const backoffMs = this.#timing.renewMs *
+      2 ** Math.min(this.#consecutiveFailures - 1, 10);
+    this.#retryAt = this.#deps.clock.now() +
+      Math.min(MAX_BACKOFF_MS, backoffMs);
   }
 }
--- a/src/membership/leased_seats_test.ts
+++ b/src/membership/leased_seats_test.ts
@@ -11,7 +11,7 @@
 test("a fresh fleet holds every seat within two seconds", async (t) => {
   const fleet = fleetOf(["a", "b", "c"]);
   await fleet.run(2_000);
-  t.is(fleet.inUse(), 3);
+  t.is(fleet.seatsInUse(), 3);
   t.deepEqual(fleet.nodes.map((n) => fleet.heldBy(n)), [1, 1, 1]);
 });
 
@@ -24,15 +24,15 @@
   t.true(calls >= 15 && calls <= 20, `${calls} calls in 20 s`);
 });
 
-test("a killed instance's seat goes to a mate, less the floor", async (t) => {
-  // A process dies without a word. Until its lease has surely ended its seat
-  // is nobody's and callers see less room; then a mate serves with it.
+test("a zone peer takes over a killed instance's seat, less the floor", async (t) => {
+  // A process dies without a hand-over. Its seat must stay unused until the
+  // lease has safely expired, and a zone peer must then take it over.
   const fleet = fleetOf(["a", "b"]);
   await fleet.run(3_000);
   fleet.kill(fleet.nodes[0]!);
-  await fleet.run(3_000, () => t.is(fleet.inUse(), 1));
-  await fleet.run(4_000, () => t.deepEqual(fleet.overused(), []));
-  t.is(fleet.inUse(), 1.8);
+  await fleet.run(3_000, () => t.is(fleet.seatsInUse(), 1));
+  await fleet.run(4_000, () => t.deepEqual(fleet.overcommittedSeats(), []));
+  t.is(fleet.seatsInUse(), 1.8);
 });
 
 test("a graceful stop hands the seat over at once", async (t) => {
@@ -40,71 +40,71 @@
   await fleet.run(3_000);
   await fleet.stop(fleet.nodes[0]!);
   await fleet.run(300);
-  t.is(fleet.inUse(), 2);
+  t.is(fleet.seatsInUse(), 2);
 });
 
-test("a newcomer gets a seat from a mate that holds two", async (t) => {
+test("a new instance gets a seat from a zone peer that holds two", async (t) => {
   const fleet = fleetOf(["a", "b"]);
   await fleet.run(3_000);
   await fleet.stop(fleet.nodes[0]!);
-  const newcomer = fleet.add("c");
-  await fleet.run(2_500, () => t.deepEqual(fleet.overused(), []));
-  t.is(fleet.heldBy(newcomer), 1);
-  t.is(fleet.inUse(), 2);
+  const added = fleet.add("c");
+  await fleet.run(2_500, () => t.deepEqual(fleet.overcommittedSeats(), []));
+  t.is(fleet.heldBy(added), 1);
+  t.is(fleet.seatsInUse(), 2);
 });
 
-test("a store that is down changes nothing while mates hear each other", async (t) => {
+test("leases outlast a store outage while zone peers exchange messages", async (t) => {
   const fleet = fleetOf(["a", "b", "c"]);
   await fleet.run(3_000);
   for (const node of fleet.nodes) node.platform.faults.down = 1;
-  await fleet.run(120_000, () => t.is(fleet.inUse(), 3));
+  await fleet.run(120_000, () => t.is(fleet.seatsInUse(), 3));
 });
 
-test("who leaves while the store is down takes nothing from its mates", async (t) => {
-  // An instance is replaced during an outage. Its own seat has to wait for the
-  // store, but callers of its mates must not notice that it went.
+test("an instance that leaves during a store outage costs its zone peers nothing", async (t) => {
+  // An instance is replaced during an outage. Its seat can only be reassigned
+  // once the store is back, but its zone peers must keep their whole seats.
   const fleet = fleetOf(["a", "b", "c"]);
   await fleet.run(3_000);
   for (const node of fleet.nodes) node.platform.faults.down = 1;
   await fleet.run(10_000);
   await fleet.stop(fleet.nodes[0]!);
-  await fleet.run(60_000, () => t.is(fleet.inUse(), 2));
+  await fleet.run(60_000, () => t.is(fleet.seatsInUse(), 2));
 });
 
-test("an instance with neither store nor mates keeps the floor alone", async (t) => {
-  // A cable is pulled: the instance runs on and callers near it still reach
-  // it. Its mate takes the rest of its seat; together they never have more.
+test("an instance cut off from the store and its zone peers keeps only the floor", async (t) => {
+  // A network partition isolates an instance that callers can still reach. Its
+  // zone peer takes over the rest of its seat; their sum must not exceed it.
   const fleet = fleetOf(["a", "b"]);
   await fleet.run(3_000);
   const [a, b] = fleet.nodes as [FleetNode, FleetNode];
   fleet.cut([a], [b]);
   fleet.cut([b], [a]);
   a.platform.faults.down = 1;
-  await fleet.run(10_000, () => t.deepEqual(fleet.overused(), []));
+  await fleet.run(10_000, () => t.deepEqual(fleet.overcommittedSeats(), []));
   t.is(fleet.heldBy(a), 0.2);
   t.is(fleet.heldBy(b), 1.8);
   fleet.cut([a], [b], false);
   fleet.cut([b], [a], false);
   a.platform.faults.down = 0;
-  await fleet.run(20_000, () => t.deepEqual(fleet.overused(), []));
+  await fleet.run(20_000, () => t.deepEqual(fleet.overcommittedSeats(), []));
   t.deepEqual([fleet.heldBy(a), fleet.heldBy(b)], [1, 1]);
 });
 
-test("an instance that was paused uses nothing that a mate took", async (t) => {
-  // The machine stops a process for longer than its lease. When it goes on it
-  // has not noticed, and would send work on a seat that is another's by now.
+test("a resumed instance does not use the part that a zone peer took over", async (t) => {
+  // A process is paused for longer than its lease. When it resumes, it must not
+  // send requests on a seat that another instance now holds.
   const fleet = fleetOf(["a", "b"]);
   await fleet.run(3_000);
   const a = fleet.nodes[0]!;
   a.paused = true;
-  await fleet.run(20_000, () => t.deepEqual(fleet.overused(), []));
+  await fleet.run(20_000, () => t.deepEqual(fleet.overcommittedSeats(), []));
   t.is(fleet.heldBy(a), 0.2);
   fleet.resume(a);
-  await fleet.run(20_000, () => t.deepEqual(fleet.overused(), []));
-  t.is(fleet.inUse(), 2);
+  await fleet.run(20_000, () => t.deepEqual(fleet.overcommittedSeats(), []));
+  t.is(fleet.seatsInUse(), 2);
 });
 
-test("other zones learn who holds a zone's seats", async (t) => {
+test("holders of a zone's seats are reported to other zones", async (t) => {
   const fleet = new SeatFleet(1, { y: 1, z: 1 });
   const a = fleet.add("a", "y");
   fleet.add("b", "z");
@@ -118,23 +118,23 @@
 
 for (const seed of SEEDS) {
   test(`no part of a seat is used twice, seed ${seed}`, async (t) => {
-    // Kills, pauses, cuts, lost and late messages, and a store that is down,
-    // stale or loses answers, in any order and together. A seat used twice
-    // shows as more work at an endpoint than it has slots.
+    // Random kills, pauses, partitions, lost and delayed messages, and store
+    // outages, stale reads and lost responses, combined. A seat used twice
+    // means more requests at an endpoint than it has slots.
     const fleet = fleetOf(["a", "b", "c"], seed);
     const random = new SeededRandom(seed * 7_919);
     Object.assign(fleet.messages, { drop: 0.1, repeat: 0.1, delay: 5 });
     await fleet.run(3_000);
     for (let i = 0; i < FAULT_STEPS; i++) {
-      await strike(fleet, random, i);
+      await injectFault(fleet, random, i);
       const ms = 500 + random.below(6_000);
-      await fleet.run(ms, () => t.deepEqual(fleet.overused(), []));
+      await fleet.run(ms, () => t.deepEqual(fleet.overcommittedSeats(), []));
     }
     t.pass();
   });
 }
 
-async function strike(
+async function injectFault(
   fleet: SeatFleet,
   random: SeededRandom,
   step: number,
@@ -174,6 +174,6 @@
         fleet.resume(n);
         n.platform.faults.down = 0;
       }
-      fleet.cuts.clear();
+      fleet.blockedLinks.clear();
   }
 }
--- a/src/membership/list_reader.ts
+++ b/src/membership/list_reader.ts
@@ -1,11 +1,11 @@
 /**
- * Reads the platform's list of instances, seldom: one member of a zone often,
- * the others now and then, a newcomer often until it knows everybody.
+ * Polls the platform's list of instances: one instance of a zone and newly
+ * started instances poll it often, the others rarely.
  *
- * If every instance read the list every second, calls would grow as fast as
- * the fleet, and at two thousand instances reading the list alone would use up
- * all reads that the store gives; one would see the store refuse other calls.
- * Newcomers call everybody they find, so that those need not look for them.
+ * If every instance polled once a second, reads would grow with the fleet; at
+ * 2,000 instances they would use up the store's whole read limit, and it would
+ * refuse other calls. A new instance calls all members it finds, so they need
+ * not poll to discover it.
  *
  * @module
  */
@@ -14,15 +14,15 @@
 import { dutyHolder } from "./duty.ts";
 import type { Roster } from "./roster.ts";
 
-/** The list lags; a newcomer looks again until what was new then shows. */
-const NEWCOMER_MS = 15_000;
-const NEWCOMER_EVERY_MS = 1_000;
-const DUTY_EVERY_MS = 2_000;
-/** What a zone's duty holder missed, the others find within this time. */
-const OTHERS_EVERY_MS = 20_000;
+/** Longer than the list's lag, to find instances that started just before. */
+const STARTUP_PHASE_MS = 15_000;
+const STARTUP_INTERVAL_MS = 1_000;
+const OWNER_INTERVAL_MS = 2_000;
+/** Bounds how long an instance that the zone's poller missed is unknown. */
+const NON_OWNER_INTERVAL_MS = 20_000;
 const JITTER = 0.2;
 
-/** What a reader needs. */
+/** Dependencies of the poller. */
 export interface ListReaderDeps {
   readonly instance: InstanceId;
   readonly zone: ZoneId;
@@ -32,7 +32,7 @@
   readonly random: Random;
 }
 
-/** Keeps the roster up to date from the platform's list. */
+/** Updates the roster from the platform's list. */
 export class ListReader {
   readonly name = "list";
   readonly #deps: ListReaderDeps;
@@ -45,12 +45,12 @@
     this.#startedAt = deps.clock.now();
   }
 
-  /** Reads if it is time; a read that is under way is waited for. */
+  /** Starts a read if one is due and none is in progress. */
   run(now: number): void {
     if (this.#reading || now < this.#dueAt) return;
-    const everyMs = this.#everyMs(now);
+    const intervalMs = this.#intervalMs(now);
     const jitter = 1 + JITTER * (2 * this.#deps.random.next() - 1);
-    this.#dueAt = now + everyMs * jitter;
+    this.#dueAt = now + intervalMs * jitter;
     void this.#read();
   }
 
@@ -61,12 +61,12 @@
     if (listed.isOk()) this.#deps.roster.adoptList(listed.value);
   }
 
-  #everyMs(now: number): number {
-    if (now - this.#startedAt < NEWCOMER_MS) return NEWCOMER_EVERY_MS;
+  #intervalMs(now: number): number {
+    if (now - this.#startedAt < STARTUP_PHASE_MS) return STARTUP_INTERVAL_MS;
     const { instance, zone, roster } = this.#deps;
-    const mates = roster.live().filter((m) => m.zone === zone);
-    const members = [instance, ...mates.map((m) => m.instance)];
-    const holder = dutyHolder(`list ${zone}`, members);
-    return holder === instance ? DUTY_EVERY_MS : OTHERS_EVERY_MS;
+    const zonePeers = roster.live().filter((m) => m.zone === zone);
+    const members = [instance, ...zonePeers.map((m) => m.instance)];
+    const owner = dutyHolder(`list ${zone}`, members);
+    return owner === instance ? OWNER_INTERVAL_MS : NON_OWNER_INTERVAL_MS;
   }
 }
--- a/src/membership/mod.ts
+++ b/src/membership/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Which instances there are, and which seats they hold.
+ * Membership of entry instances and assignment of seats to them.
  *
  * @module
  */
--- a/src/membership/ranked_seats.ts
+++ b/src/membership/ranked_seats.ts
@@ -1,9 +1,9 @@
 /**
- * The plain baseline: an instance's seat is its rank among the instances that
- * the platform lists in its zone.
+ * Baseline without leases: an instance's seat is its rank among the zone's
+ * instances in the roster.
  *
- * What goes wrong with it: two instances that see different lists take the
- * same seat, which shows as more work at an endpoint than it has slots.
+ * Two instances that see different lists can hold the same seat, and endpoints
+ * then get more requests than they have slots.
  *
  * @module
  */
@@ -12,7 +12,7 @@
 import type { Roster } from "./roster.ts";
 import type { HeldSeat, SeatDirectory, SeatEntry } from "./seats.ts";
 
-/** What a ranking needs. */
+/** Dependencies of `RankedSeats`. */
 export interface RankedSeatsDeps {
   readonly instance: InstanceId;
   readonly zone: ZoneId;
@@ -20,7 +20,7 @@
   readonly document: () => SteeringDocument;
 }
 
-/** Seats by rank in the lagging list. */
+/** Assigns seats by rank in the roster, which may lag. */
 export class RankedSeats implements SeatDirectory {
   readonly #deps: RankedSeatsDeps;
 
--- a/src/membership/zone_tables.ts
+++ b/src/membership/remote_seat_tables.ts
@@ -1,6 +1,6 @@
 /**
- * Who holds the seats of other zones, passed on from instance to instance:
- * each tells how new its copies are and is sent what is newer.
+ * Seat tables of other zones, spread by gossip: each instance sends digests
+ * of its copies and receives newer ones.
  *
  * @module
  */
@@ -8,13 +8,13 @@
 import { type SeatDigest, SeatDigestSchema } from "../gen/membership_pb.ts";
 import type { StoredTable } from "./seat_store.ts";
 
-/** Copies of other zones' tables; a copy is replaced by one of a later shape. */
-export class ZoneTables {
+/** Copies of other zones' tables; a copy with a later `shape` replaces one. */
+export class RemoteSeatTables {
   readonly #tables = new Map<string, StoredTable>();
 
-  adopt(zone: string, stored: StoredTable): void {
-    const known = this.#tables.get(zone);
-    if (known && known.table.shape >= stored.table.shape) return;
+  put(zone: string, stored: StoredTable): void {
+    const existing = this.#tables.get(zone);
+    if (existing && existing.table.shape >= stored.table.shape) return;
     this.#tables.set(zone, stored);
   }
 
@@ -28,7 +28,7 @@
     );
   }
 
-  /** Copies that are newer than a peer's, by what it told. */
+  /** Copies that are newer than those in a peer's digests. */
   newerThan(known: ReadonlyMap<string, number>): [string, StoredTable][] {
     return this.entries().filter(([zone, { table }]) =>
       table.shape > (known.get(zone) ?? 0)
--- a/src/membership/roster.ts
+++ b/src/membership/roster.ts
@@ -1,6 +1,6 @@
 /**
- * Who the entry instances are: the platform's list, which lags, corrected by
- * what the instances say of themselves.
+ * Tracks the entry instances: the platform's list, which lags, corrected by
+ * the messages that the instances send.
  *
  * @module
  */
@@ -9,40 +9,40 @@
 import type { PeerSubsystem } from "../peers/mod.ts";
 import type { ListedInstance } from "../store/mod.ts";
 
-/** An instance as this one knows it. */
+/** An instance as this one sees it. */
 export interface Member extends ListedInstance {
-  /** When it was last heard itself; undefined if only the platform named it. */
+  /** When its last message arrived; undefined if it is only on the list. */
   readonly heardAt: number | undefined;
 }
 
-/** A member that was silent this long, in milliseconds, is not sent callers. */
-export const SILENT_MS = 2_000;
+/** A member silent for longer, in milliseconds, is not listed to callers. */
+export const MEMBER_TIMEOUT_MS = 2_000;
 
 /**
- * A member that was silent this long and is off the platform's list is
- * forgotten. Without this, instances that were replaced months ago would still
- * be called several times a second, and memory would grow with every one.
+ * A member silent for longer than this, in milliseconds, and absent from the
+ * platform's list is removed. Otherwise replaced instances would be called
+ * several times a second for ever, and memory would grow with each.
  */
-export const FORGET_MS = 60_000;
-/** Time between two ticks from which on this instance itself was paused. */
-const OWN_PAUSE_MS = 1_000;
+export const EVICT_AFTER_MS = 60_000;
+/** A gap between ticks of this many milliseconds means this process paused. */
+const LOCAL_PAUSE_MS = 1_000;
 
-/** The table of entry instances other than this one. */
+/** The entry instances other than this one. */
 export class Roster implements PeerSubsystem {
   readonly name = "roster";
   readonly #clock: Clock;
   readonly #self: string;
   readonly #members = new Map<string, Member>();
-  #ranAt: number | undefined;
+  #lastRunAt: number | undefined;
 
   constructor(clock: Clock, self: string) {
     this.#clock = clock;
     this.#self = self;
   }
 
-  /** Takes in the platform's list; what was heard directly goes before it. */
+  /** Applies the platform's list; members' own messages take precedence. */
   adoptList(listed: readonly ListedInstance[]): void {
-    this.#forget(new Set(listed.map((entry) => entry.instance)));
+    this.#evict(new Set(listed.map((entry) => entry.instance)));
     for (const entry of listed) {
       if (entry.instance === this.#self) continue;
       const known = this.#members.get(entry.instance);
@@ -52,14 +52,14 @@
   }
 
   /**
-   * Notices a pause of this instance: all others then look silent although
-   * only this one was, and callers would be told that nobody else is there.
-   * The time that was lost here counts against nobody.
+   * Detects a pause of this process and excludes it from the members' silence.
+   * Otherwise all members would look silent after it, and look-ups would list
+   * no other instance.
    */
   run(now: number): void {
-    const gap = now - (this.#ranAt ?? now);
-    this.#ranAt = now;
-    if (gap < OWN_PAUSE_MS) return;
+    const gap = now - (this.#lastRunAt ?? now);
+    this.#lastRunAt = now;
+    if (gap < LOCAL_PAUSE_MS) return;
     for (const [id, member] of this.#members) {
       if (member.heardAt === undefined) continue;
       this.#members.set(id, { ...member, heardAt: member.heardAt + gap });
@@ -85,22 +85,22 @@
     });
   }
 
-  #forget(listed: ReadonlySet<string>): void {
-    const oldest = this.#clock.now() - FORGET_MS;
+  #evict(listed: ReadonlySet<string>): void {
+    const oldest = this.#clock.now() - EVICT_AFTER_MS;
     for (const [id, { heardAt }] of this.#members) {
       if (listed.has(id)) continue;
       if (heardAt === undefined || heardAt < oldest) this.#members.delete(id);
     }
   }
 
-  /** Everybody known, heard or not. */
+  /** All members, whether or not a message of theirs has arrived. */
   members(): Member[] {
     return [...this.#members.values()];
   }
 
-  /** Members heard lately and not leaving. */
+  /** Members that sent a message recently and are not leaving. */
   live(): Member[] {
-    const oldest = this.#clock.now() - SILENT_MS;
+    const oldest = this.#clock.now() - MEMBER_TIMEOUT_MS;
     return this.members().filter((m) =>
       m.state === "live" && m.heardAt !== undefined && m.heardAt >= oldest
     );
--- a/src/membership/roster_test.ts
+++ b/src/membership/roster_test.ts
@@ -10,7 +10,7 @@
 import { BatchSchema, SenderSchema } from "../gen/peer_pb.ts";
 import { type ListedInstance, MemoryPlatform } from "../store/mod.ts";
 import { ListReader } from "./list_reader.ts";
-import { FORGET_MS, Roster, SILENT_MS } from "./roster.ts";
+import { EVICT_AFTER_MS, MEMBER_TIMEOUT_MS, Roster } from "./roster.ts";
 
 function listed(id: string): ListedInstance {
   return {
@@ -23,7 +23,7 @@
   };
 }
 
-function hear(roster: Roster, id: string): void {
+function receiveFrom(roster: Roster, id: string): void {
   const { peerUrl, callerUrl, zone, region } = listed(id);
   const sender = { instance: id, zone, region, peerUrl, callerUrl };
   roster.absorb(create(BatchSchema), create(SenderSchema, sender));
@@ -33,45 +33,44 @@
   return roster.live().map((m) => m.instance);
 }
 
-test("an instance that was replaced is forgotten, one that is listed is not", (t) => {
-  // A hundred instances are replaced a day. If none were forgotten, the calls
-  // to those long gone would soon outnumber those to the living.
+test("a silent member is removed only if it is off the platform's list", (t) => {
+  // With a hundred replacements a day, calls to removed instances would soon
+  // outnumber those to live ones.
   const clock = new ManualClock();
   const roster = new Roster(clock, "self");
-  hear(roster, "gone");
-  hear(roster, "silent");
-  clock.advance(FORGET_MS + 1);
+  receiveFrom(roster, "gone");
+  receiveFrom(roster, "silent");
+  clock.advance(EVICT_AFTER_MS + 1);
   roster.adoptList([listed("silent")]);
   t.deepEqual(roster.members().map((m) => m.instance), ["silent"]);
 });
 
-test("a lagging list that lacks a member does not make it forgotten", (t) => {
+test("a live member absent from the lagging list is kept", (t) => {
   const clock = new ManualClock();
   const roster = new Roster(clock, "self");
-  hear(roster, "new");
+  receiveFrom(roster, "new");
   roster.adoptList([]);
   t.deepEqual(live(roster), ["new"]);
 });
 
-test("an instance that was paused suspects nobody because of it", (t) => {
-  // The process is stopped for ten seconds. Nobody was heard meanwhile, and
-  // without this a caller that asks right after would be told of no other
-  // instance, while all of them are there.
+test("a pause of this process does not make other members look silent", (t) => {
+  // The process is paused for 10 s and receives no message meanwhile. A look-up
+  // right after it must still list the other instances.
   const clock = new ManualClock();
   const roster = new Roster(clock, "self");
-  hear(roster, "mate");
+  receiveFrom(roster, "mate");
   roster.run(clock.now());
   clock.advance(10_000);
   roster.run(clock.now());
   t.deepEqual(live(roster), ["mate"]);
-  for (let at = 0; at <= SILENT_MS; at += 100) {
+  for (let at = 0; at <= MEMBER_TIMEOUT_MS; at += 100) {
     clock.advance(100);
     roster.run(clock.now());
   }
   t.deepEqual(live(roster), []);
 });
 
-test("calls for the list grow more slowly than the zone", async (t) => {
+test("polls of the instance list grow more slowly than the zone", async (t) => {
   const clock = new ManualClock();
   const platform = new MemoryPlatform(clock);
   let reads = 0;
@@ -98,7 +97,7 @@
     for (let s = 0; s < seconds; s++) {
       clock.advance(1_000);
       for (const roster of rosters) {
-        for (const id of ids) hear(roster, id);
+        for (const id of ids) receiveFrom(roster, id);
       }
       for (const reader of readers) reader.run(clock.now());
       await new Promise((resolve) => setImmediate(resolve));
--- a/src/membership/seat_lease.ts
+++ b/src/membership/seat_lease.ts
@@ -1,11 +1,10 @@
 /**
- * What this instance may use of its seats: leases by the store, prolonged by
- * promises of the zone's other holders.
+ * How much of its seats this instance may use: leases from the store, extended
+ * by promises of the zone's other holders.
  *
- * Pattern it answers: the store is slow or down for long while the zone works.
- * With store leases alone every seat would end seconds after the store did,
- * which shows as refusals everywhere at once. All who may take a seat over
- * promise not to; as long as all of them do, it is as safe as a renewal.
+ * With store leases alone, every seat would expire seconds after the store went
+ * down, and all instances would refuse requests at once. If every holder that
+ * may take over a seat promises not to, that is as safe as a renewal.
  *
  * @module
  */
@@ -19,14 +18,14 @@
 } from "./seat_table.ts";
 import type { SeatTiming } from "./seat_timing.ts";
 
-/** A promise as it came back from a mate. */
-export interface Promised {
-  /** When this instance asked for it, on its own clock; Infinity if it lasts. */
+/** A promise received from a zone peer. */
+export interface ReceivedPromise {
+  /** When this instance requested it, on its own clock; Infinity if final. */
   readonly askedMs: number;
   readonly seats: readonly { readonly index: number; readonly epoch: number }[];
 }
 
-/** A seat this instance may use now. */
+/** This instance's current lease on a seat. */
 export interface Lease {
   readonly index: number;
   readonly epoch: number;
@@ -34,29 +33,29 @@
   readonly until: number;
 }
 
-/** Promises by holder. */
-export class PromiseBook {
-  readonly #promises = new Map<string, Promised>();
+/** The latest promise of each holder. */
+export class SeatPromiseTable {
+  readonly #promises = new Map<string, ReceivedPromise>();
 
-  /** Keeps the promise unless a later one is there. */
-  add(from: Holder, promised: Promised): void {
-    const known = this.#promises.get(nameOf(from));
+  /** Records the promise unless a later one is known. */
+  add(from: Holder, promised: ReceivedPromise): void {
+    const known = this.#promises.get(holderKey(from));
     if (known && known.askedMs > promised.askedMs) return;
-    this.#promises.set(nameOf(from), promised);
+    this.#promises.set(holderKey(from), promised);
   }
 
-  /** When the holder's promise for a seat was asked for; -Infinity without. */
+  /** When a holder's promise for a seat was requested; -Infinity if none. */
   askedMs(from: Holder, index: number, epoch: number): number {
-    const promised = this.#promises.get(nameOf(from));
+    const promised = this.#promises.get(holderKey(from));
     const named = promised?.seats.some((s) =>
       s.index === index && s.epoch === epoch
     );
     return promised && named ? promised.askedMs : -Infinity;
   }
 
-  /** Forgets holders that no table names. */
-  keep(holders: readonly Holder[]): void {
-    const names = new Set(holders.map(nameOf));
+  /** Removes the promises of all but `holders`. */
+  retain(holders: readonly Holder[]): void {
+    const names = new Set(holders.map(holderKey));
     for (const name of this.#promises.keys()) {
       if (!names.has(name)) this.#promises.delete(name);
     }
@@ -64,47 +63,47 @@
 }
 
 /**
- * The lease on one row of which `self` is the holder; undefined once nothing
- * of it may be used.
+ * The lease of `self` on one row; undefined if it holds none or the hold time
+ * has ended.
  *
  * @example
  * ```ts
  * const lease = leaseOn(table, 0, { self, promises, timing, now });
  * ```
  */
-export function leaseOn(
+export function currentLease(
   table: SeatTable,
   index: number,
   { self, promises, timing, now }: {
     self: Holder;
-    promises: PromiseBook;
+    promises: SeatPromiseTable;
     timing: SeatTiming;
     now: number;
   },
 ): Lease | undefined {
   const row = table.rows[index];
   if (row === undefined || !sameHolder(row, self)) return undefined;
-  const last = row.renewedMs + timing.holdMs;
+  const holdEnd = row.renewedMs + timing.holdMs;
   const part = usablePart(row);
   const { epoch } = row;
-  const full = Math.min(
-    last,
-    fullUntil(table, { row, index, self, promises, timing }),
+  const leaseEnd = Math.min(
+    holdEnd,
+    fullLeaseEnd(table, { row, index, self, promises, timing }),
   );
-  if (now < full) return { index, epoch, part, until: full };
-  if (now < last) {
-    return { index, epoch, part: part * timing.floor, until: last };
+  if (now < leaseEnd) return { index, epoch, part, until: leaseEnd };
+  if (now < holdEnd) {
+    return { index, epoch, part: part * timing.floor, until: holdEnd };
   }
   return undefined;
 }
 
-function fullUntil(
+function fullLeaseEnd(
   table: SeatTable,
   { row, index, self, promises, timing }: {
     row: SeatRow;
     index: number;
     self: Holder;
-    promises: PromiseBook;
+    promises: SeatPromiseTable;
     timing: SeatTiming;
   },
 ): number {
@@ -114,6 +113,6 @@
   return Math.max(row.renewedMs, promised) + timing.leaseMs;
 }
 
-function nameOf({ holder, incarnation }: Holder): string {
+function holderKey({ holder, incarnation }: Holder): string {
   return `${holder} ${incarnation}`;
 }
--- a/src/membership/seat_messages.ts
+++ b/src/membership/seat_messages.ts
@@ -1,5 +1,5 @@
 /**
- * Tables of seats as peers tell them to each other.
+ * Conversion between seat tables and peer messages.
  *
  * @module
  */
@@ -12,14 +12,14 @@
 import type { StoredTable } from "./seat_store.ts";
 import { SeatTable } from "./seat_table.ts";
 
-/** A stored table as a message. */
+/** Encodes a stored table as a message. */
 export function toMessage(zone: string, stored: StoredTable): SeatTableMessage {
   const { revision, shape, rows } = stored.table;
   const version = stored.version ?? "";
   return create(SeatTableSchema, { zone, revision, shape, version, rows });
 }
 
-/** A table out of a message; undefined if it is not one. */
+/** Decodes a table from a message; undefined if it is invalid. */
 export function fromMessage(
   message: SeatTableMessage,
 ): StoredTable | undefined {
--- a/src/membership/seat_observer.ts
+++ b/src/membership/seat_observer.ts
@@ -1,28 +1,28 @@
 /**
- * What this instance has seen of its zone's seats, and for how long it has
- * stood unchanged on this instance's own clock.
+ * Tracks how long the rows of the zone's seat table have been unchanged, on
+ * this instance's own clock.
  *
- * Times of other instances are never compared: a lease has surely ended when
- * an observer saw the same renewal for longer than a lease.
+ * Clocks of different instances are never compared: a lease has safely expired
+ * once an observer has seen the same renewal for longer than the lease.
  *
  * @module
  */
 import type { SeatRow, SeatTable } from "./seat_table.ts";
 
-interface Sighting {
+interface Observation {
   readonly key: string;
   readonly since: number;
 }
 
-/** First sightings of each row's renewal and of each reservation. */
+/** When each row's renewal and each reservation was first observed. */
 export class SeatObserver {
-  #rows: Sighting[] = [];
+  #rows: Observation[] = [];
   #reservations = new Map<string, number>();
 
-  /** Takes in a table that stands, or stood, in the store. */
+  /** Records a table that is, or was, in the store. */
   observe(table: SeatTable, now: number): void {
     this.#rows = table.rows.map((row, i) => {
-      const key = sightingKey(row);
+      const key = renewalKey(row);
       const known = this.#rows[i];
       return known?.key === key ? known : { key, since: now };
     });
@@ -34,10 +34,10 @@
     );
   }
 
-  /** How long a row's renewal has stood unchanged, in milliseconds. */
+  /** How long a row's renewal has been unchanged, in milliseconds. */
   unchangedMs(index: number, now: number): number {
-    const sighting = this.#rows[index];
-    return sighting ? now - sighting.since : 0;
+    const observation = this.#rows[index];
+    return observation ? now - observation.since : 0;
   }
 
   /** How long a reservation has been known, in milliseconds. */
@@ -47,7 +47,7 @@
   }
 }
 
-function sightingKey(row: SeatRow): string {
+function renewalKey(row: SeatRow): string {
   const { holder, incarnation, epoch, renewedMs } = row;
   return `${holder} ${incarnation} ${epoch} ${renewedMs}`;
 }
--- a/src/membership/seat_plan.ts
+++ b/src/membership/seat_plan.ts
@@ -1,20 +1,20 @@
 /**
- * What a zone's next table of seats should be: renewals, hand-overs, and seats
- * of holders that surely no longer use them.
+ * Plans a zone's next seat table: renewals, hand-overs, and take-overs of seats
+ * whose holders' leases have safely expired.
  *
- * Pattern it answers: instances die, pause and are replaced at any time. What
- * goes wrong without it: two instances use one seat, which shows as more
- * requests at an endpoint than it has slots and accounts above their rate; or
- * a dead instance's seat stays unused, which shows as refusals at half load.
+ * Instances die, pause and are replaced at any time. Without this, two
+ * instances could use one seat, which overloads endpoints and lets accounts
+ * exceed their rate, or a dead instance's seat would stay unused, which causes
+ * refusals at half load.
  *
  * @module
  */
 import {
-  type Ask,
   assignRow,
   type Holder,
   holdersOf,
   releaseRow,
+  type RenewalRequest,
   reserveFloor,
   resizeRows,
   sameHolder,
@@ -22,29 +22,29 @@
   type SeatRow,
   type SeatTable,
 } from "./seat_table.ts";
-import { rankFor } from "./duty.ts";
+import { rendezvousOrder } from "./duty.ts";
 import type { SeatObserver } from "./seat_observer.ts";
 import type { SeatTiming } from "./seat_timing.ts";
 
-/** All that a plan depends on. */
+/** Inputs of a plan. */
 export interface SeatPlanInput {
   readonly table: SeatTable;
   readonly observer: SeatObserver;
-  /** This instance's own request for renewal. */
-  readonly self: Ask;
+  /** This instance's own renewal request. */
+  readonly self: RenewalRequest;
   readonly leaving: boolean;
-  /** Requests of zone-mates heard lately that are not leaving. */
-  readonly mates: readonly Ask[];
-  /** Requests of zone-mates heard lately that are leaving. */
-  readonly departing: readonly Ask[];
-  /** Seats that this instance stopped using long enough ago to give them away. */
-  readonly givable: ReadonlySet<number>;
-  /** Rows of others that this instance may not take: it promised. */
-  readonly promised: (holder: Holder) => boolean;
-  /** How many seats the zone has. */
+  /** Renewal requests of live zone peers that are not leaving. */
+  readonly zonePeers: readonly RenewalRequest[];
+  /** Renewal requests of live zone peers that are leaving. */
+  readonly leavingPeers: readonly RenewalRequest[];
+  /** Own seats that have been unused for long enough to be handed over. */
+  readonly releasable: ReadonlySet<number>;
+  /** Whether a promise to `holder` still forbids taking over its seats. */
+  readonly isPromised: (holder: Holder) => boolean;
+  /** Number of seats in the zone. */
   readonly seats: number;
-  /** How long work begun on a seat may outlast its use, in milliseconds. */
-  readonly settleMs: number;
+  /** How long requests may outlast the use of their seat, in milliseconds. */
+  readonly maxInFlightMs: number;
   readonly timing: SeatTiming;
   readonly now: number;
 }
@@ -52,17 +52,17 @@
 /** A planned table. */
 export interface SeatPlan {
   readonly table: SeatTable;
-  /** Whether a holder changes, which is not to wait for the next renewal. */
+  /** Whether a holder changes, which should not wait for the next renewal. */
   readonly urgent: boolean;
-  /** Whether this instance's own seats change, so that it writes itself. */
+  /** Whether this instance's own seats change, so that it should write. */
   readonly own: boolean;
-  /** Seats taken from holders that fell silent. */
+  /** Seats taken over from silent holders. */
   readonly taken: readonly number[];
 }
 
-/** How long a lease must have stood before its seat may be taken. */
-export function quietMs(timing: SeatTiming, settle: number): number {
-  return timing.leaseMs + timing.marginMs + settle;
+/** How long a seat must have gone unrenewed before it may be taken over. */
+export function takeoverDelayMs(timing: SeatTiming, settle: number): number {
+  return timing.leaseMs + timing.clockDriftMs + settle;
 }
 
 /**
@@ -77,30 +77,33 @@
 export function planSeats(input: SeatPlanInput): SeatPlan {
   const { table, self, leaving } = input;
   const revision = table.revision + 1;
-  const draft = new Draft(resizeRows(table.rows, input.seats), revision);
-  for (const ask of [self, ...input.mates, ...input.departing]) {
-    draft.renew(ask);
+  const draft = new SeatTableDraft(
+    resizeRows(table.rows, input.seats),
+    revision,
+  );
+  for (const request of [self, ...input.zonePeers, ...input.leavingPeers]) {
+    draft.renew(request);
   }
-  const gaveUp = dropReservations(draft, input);
-  giveAway(draft, input);
-  const taken = leaving ? [] : takeOver(draft, input);
-  fillEmpty(draft, input);
+  const ownExpired = expireReservations(draft, input);
+  handOverReleased(draft, input);
+  const taken = leaving ? [] : takeOverExpired(draft, input);
+  assignVacant(draft, input);
   const shape = draft.changed.size > 0 ? revision : table.shape;
   const own = [...draft.changed].some((i) =>
-    sameHolder(draft.rows[i] ?? NOBODY, self) ||
-    sameHolder(table.rows[i] ?? NOBODY, self)
+    sameHolder(draft.rows[i] ?? NO_HOLDER, self) ||
+    sameHolder(table.rows[i] ?? NO_HOLDER, self)
   );
   return {
     table: { revision, shape, rows: draft.rows },
     urgent: draft.changed.size > 0,
-    own: own || gaveUp || taken.length > 0,
+    own: own || ownExpired || taken.length > 0,
     taken,
   };
 }
 
-const NOBODY: Holder = { holder: "", incarnation: "" };
+const NO_HOLDER: Holder = { holder: "", incarnation: "" };
 
-class Draft {
+class SeatTableDraft {
   readonly rows: SeatRow[];
   readonly revision: number;
   readonly changed = new Set<number>();
@@ -110,14 +113,14 @@
     this.revision = revision;
   }
 
-  renew(ask: Ask): void {
+  renew(request: RenewalRequest): void {
     this.rows.forEach((row, i) => {
-      if (!sameHolder(row, ask) || row.renewedMs >= ask.askedMs) return;
-      this.rows[i] = { ...row, renewedMs: ask.askedMs, seen: ask.seen };
+      if (!sameHolder(row, request) || row.renewedMs >= request.askedMs) return;
+      this.rows[i] = { ...row, renewedMs: request.askedMs, seen: request.seen };
     });
   }
 
-  assign(index: number, to: Ask): void {
+  assign(index: number, to: RenewalRequest): void {
     const { revision } = this;
     this.rows[index] = assignRow(this.rows, index, { to, revision });
     this.changed.add(index);
@@ -132,16 +135,19 @@
 }
 
 /**
- * Reservations end when their holder gave them up or their time is over; says
- * whether one of this instance's own did.
+ * Drops reservations that have expired; this instance's own expire as soon as
+ * its requests have ended. Returns whether one of its own was dropped.
  */
-function dropReservations(draft: Draft, input: SeatPlanInput): boolean {
-  const { observer, self, now, timing, settleMs } = input;
-  const over = timing.holdMs + quietMs(timing, settleMs);
+function expireReservations(
+  draft: SeatTableDraft,
+  input: SeatPlanInput,
+): boolean {
+  const { observer, self, now, timing, maxInFlightMs } = input;
+  const expiryMs = timing.holdMs + takeoverDelayMs(timing, maxInFlightMs);
   let own = false;
   draft.rows.forEach((row, i) => {
     const reserved = row.reserved.filter((r) => {
-      const limit = sameHolder(r, self) ? settleMs : over;
+      const limit = sameHolder(r, self) ? maxInFlightMs : expiryMs;
       return observer.reservedMs(i, r.epoch, now) < limit;
     });
     if (reserved.length < row.reserved.length) {
@@ -152,79 +158,86 @@
   return own;
 }
 
-/** Whoever can use a seat, the one with fewest first. */
-function neediest(
-  draft: Draft,
-  candidates: readonly Ask[],
-): Ask | undefined {
+/** The candidate with the fewest seats; ties go to the lowest instance name. */
+function holderWithFewestSeats(
+  draft: SeatTableDraft,
+  candidates: readonly RenewalRequest[],
+): RenewalRequest | undefined {
   return [...candidates].sort((a, b) =>
     seatCount(draft.rows, a) - seatCount(draft.rows, b) ||
     (a.holder < b.holder ? -1 : 1)
   )[0];
 }
 
-function giveAway(draft: Draft, input: SeatPlanInput): void {
-  const { self, mates, givable, leaving } = input;
-  for (const index of givable) {
+function handOverReleased(draft: SeatTableDraft, input: SeatPlanInput): void {
+  const { self, zonePeers, releasable, leaving } = input;
+  for (const index of releasable) {
     const row = draft.rows[index];
     if (row === undefined || !sameHolder(row, self)) continue;
-    const to = neediest(draft, mates);
-    const worthwhile = to &&
+    const to = holderWithFewestSeats(draft, zonePeers);
+    const narrowsGap = to &&
       seatCount(draft.rows, to) + 1 < seatCount(draft.rows, self);
-    if (to && (leaving || worthwhile)) draft.assign(index, to);
+    if (to && (leaving || narrowsGap)) draft.assign(index, to);
     else if (leaving) draft.release(index);
   }
 }
 
 /**
- * Takes seats of holders that surely stopped using all but the floor.
+ * Takes over seats whose holders can be using no more than the floor.
  *
- * Only a holder that the silent one knew of may: the silent one counts on the
- * promises of those it knew, and nobody else's promise was asked for. When all
- * holders have been silent for the hold time, none of them uses anything.
+ * Only a holder that the silent one had seen in the table may do so: the silent
+ * holder relies on the promises of the holders it had seen and requested none
+ * from others. Once every holder has been silent for `holdMs` and the take-over
+ * delay, all leases have expired and any instance may take over.
  */
-function takeOver(draft: Draft, input: SeatPlanInput): number[] {
-  const { table, observer, self, now, timing, settleMs } = input;
-  const quiet = quietMs(timing, settleMs);
-  const abandoned = table.rows.every((r, i) =>
+function takeOverExpired(
+  draft: SeatTableDraft,
+  input: SeatPlanInput,
+): number[] {
+  const { table, observer, self, now, timing, maxInFlightMs } = input;
+  const delayMs = takeoverDelayMs(timing, maxInFlightMs);
+  const allExpired = table.rows.every((r, i) =>
     r.holder === "" ||
-    observer.unchangedMs(i, now) >= timing.holdMs + quiet
+    observer.unchangedMs(i, now) >= timing.holdMs + delayMs
   );
   const since = table.rows.find((r) => sameHolder(r, self))?.since;
   const taken: number[] = [];
   table.rows.forEach((row, i) => {
     if (i >= input.seats || row.holder === "" || sameHolder(row, self)) return;
-    if (draft.changed.has(i) || input.promised(row)) return;
-    const known = since !== undefined && since <= row.seen;
-    if (!known && !abandoned) return;
-    const wait = quiet + standInDelay(input, i);
-    if (observer.unchangedMs(i, now) < wait) return;
-    if (!abandoned) draft.rows[i] = reserveFloor(row, timing.floor);
-    draft.assign(i, neediest(draft, [self, ...input.mates]) ?? self);
+    if (draft.changed.has(i) || input.isPromised(row)) return;
+    const seenByHolder = since !== undefined && since <= row.seen;
+    if (!seenByHolder && !allExpired) return;
+    const waitMs = delayMs + takeoverStaggerMs(input, i);
+    if (observer.unchangedMs(i, now) < waitMs) return;
+    if (!allExpired) draft.rows[i] = reserveFloor(row, timing.floor);
+    draft.assign(
+      i,
+      holderWithFewestSeats(draft, [self, ...input.zonePeers]) ?? self,
+    );
     taken.push(i);
   });
   return taken;
 }
 
-/** Holders take turns, so that they do not all write at the same moment. */
-function standInDelay(input: SeatPlanInput, index: number): number {
+/** Staggers take-overs, so that holders do not all write at the same time. */
+function takeoverStaggerMs(input: SeatPlanInput, index: number): number {
   const holders = holdersOf(input.table).filter((h) =>
-    sameHolder(h, input.self) || input.mates.some((m) => sameHolder(h, m))
+    sameHolder(h, input.self) || input.zonePeers.some((m) => sameHolder(h, m))
   );
-  const rank = rankFor(`take ${index}`, holders.map((h) => h.holder));
-  const turn = Math.max(0, rank.indexOf(input.self.holder));
-  return turn * input.timing.standInMs;
+  const order = rendezvousOrder(`take ${index}`, holders.map((h) => h.holder));
+  const position = Math.max(0, order.indexOf(input.self.holder));
+  return position * input.timing.failoverStepMs;
 }
 
-/** Empty seats go to instances without any, then, after a while, to others. */
-function fillEmpty(draft: Draft, input: SeatPlanInput): void {
-  const { observer, self, mates, now, timing, leaving } = input;
-  const candidates = leaving ? [...mates] : [self, ...mates];
+/** Assigns vacant seats to instances without any, or any after `vacancyMs`. */
+function assignVacant(draft: SeatTableDraft, input: SeatPlanInput): void {
+  const { observer, self, zonePeers, now, timing, leaving } = input;
+  const candidates = leaving ? [...zonePeers] : [self, ...zonePeers];
   draft.rows.forEach((row, i) => {
     if (row.holder !== "" || draft.changed.has(i)) return;
-    const to = neediest(draft, candidates);
+    const to = holderWithFewestSeats(draft, candidates);
     if (to === undefined) return;
-    const waited = observer.unchangedMs(i, now) >= timing.emptyMs;
-    if (seatCount(draft.rows, to) === 0 || waited) draft.assign(i, to);
+    const overdue = observer.unchangedMs(i, now) >= timing.vacancyMs;
+    if (seatCount(draft.rows, to) === 0 || overdue) draft.assign(i, to);
   });
 }
--- a/src/membership/seat_store.ts
+++ b/src/membership/seat_store.ts
@@ -1,6 +1,5 @@
 /**
- * The store's side of a zone's seats: reads and conditional writes, one at a
- * time.
+ * Store access to a zone's seat table: reads and conditional writes.
  *
  * @module
  */
@@ -9,13 +8,13 @@
 import type { Platform, PutCondition } from "../store/mod.ts";
 import { EMPTY_TABLE, seatsKey, SeatTable } from "./seat_table.ts";
 
-/** A table with the store's version of it; none when the store has none. */
+/** A table and its store version; undefined if the store has none. */
 export interface StoredTable {
   readonly table: SeatTable;
   readonly version: string | undefined;
 }
 
-/** What the store side needs. */
+/** Dependencies of `SeatStore`. */
 export interface SeatStoreDeps {
   readonly platform: Platform;
   readonly metrics: Metrics;
@@ -30,7 +29,7 @@
     this.#deps = deps;
   }
 
-  /** Reads the table; errors as the platform's, and `internal` for a broken one. */
+  /** Reads the table; fails as the platform does, `internal` if invalid. */
   async read(): Promise<Result<StoredTable, Failure>> {
     const found = await this.#deps.platform.get(seatsKey(this.#deps.zone));
     if (found.isErr()) return err(found.error);
@@ -67,7 +66,7 @@
     const parsed = SeatTable.safeParse(JSON.parse(text));
     if (parsed.success) return ok(parsed.data);
   } catch {
-    // Broken JSON is reported like a broken table.
+    // Invalid JSON is reported in the same way as an invalid table.
   }
-  return fail("internal", "the zone's seat table cannot be read");
+  return fail("internal", "the zone's seat table in the store is not valid");
 }
--- a/src/membership/seat_table.ts
+++ b/src/membership/seat_table.ts
@@ -1,5 +1,5 @@
 /**
- * A zone's table of seats, as one value in the store.
+ * A zone's seat table, stored as one value.
  *
  * @module
  */
@@ -11,23 +11,23 @@
 export const SeatReservation = z.object({
   holder: z.string(),
   incarnation: z.string(),
-  /** The epoch in which that holder had the seat. */
+  /** The epoch in which that holder held the seat. */
   epoch: Count,
   part: z.number().min(0).max(1),
 });
 export type SeatReservation = z.infer<typeof SeatReservation>;
 
-/** One seat; its index is its place in the table. */
+/** One seat; its position in the table is its index. */
 export const SeatRow = z.object({
-  /** Empty when nobody has the seat. */
+  /** Empty if the seat is vacant. */
   holder: z.string(),
   incarnation: z.string(),
   epoch: Count,
-  /** When the holder last asked for renewal, on the holder's own clock. */
+  /** When the holder last requested renewal, on the holder's own clock. */
   renewedMs: z.number().nonnegative(),
-  /** The newest table its holder knew when it asked. */
+  /** The latest revision that the holder had seen when it requested renewal. */
   seen: Count,
-  /** The revision since which this holder has had a seat without a break. */
+  /** The revision since which this holder has held at least one seat. */
   since: Count,
   reserved: z.array(SeatReservation),
 });
@@ -35,7 +35,7 @@
 
 /** All seats of a zone. */
 export const SeatTable = z.object({
-  /** Rises by one with each write. */
+  /** Increases by one with each write. */
   revision: Count,
   /** The revision at which a holder last changed. */
   shape: Count,
@@ -43,14 +43,14 @@
 });
 export type SeatTable = z.infer<typeof SeatTable>;
 
-/** One life of an instance. */
+/** An incarnation of an instance. */
 export interface Holder {
   readonly holder: string;
   readonly incarnation: string;
 }
 
-/** Somebody who asks for renewal. */
-export interface Ask extends Holder {
+/** A holder's request for renewal of its seats. */
+export interface RenewalRequest extends Holder {
   readonly askedMs: number;
   readonly seen: number;
 }
@@ -60,7 +60,7 @@
   return `seats/${zone}`;
 }
 
-/** What a zone starts from. */
+/** The table of a zone that has none in the store. */
 export const EMPTY_TABLE: SeatTable = { revision: 0, shape: 0, rows: [] };
 
 const EMPTY_ROW: SeatRow = {
@@ -73,18 +73,18 @@
   reserved: [],
 };
 
-/** Whether two names are the same life of an instance. */
+/** Whether two holders are the same incarnation of an instance. */
 export function sameHolder(a: Holder, b: Holder): boolean {
   return a.holder === b.holder && a.incarnation === b.incarnation;
 }
 
-/** Every life that has a seat, each once. */
+/** The distinct holders in a table. */
 export function holdersOf(table: SeatTable): Holder[] {
   const held = table.rows.filter((r) => r.holder !== "");
   return held.filter((r, i) => held.findIndex((o) => sameHolder(o, r)) === i);
 }
 
-/** How many seats a life of an instance has. */
+/** How many seats a holder has. */
 export function seatCount(rows: readonly SeatRow[], of: Holder): number {
   return rows.filter((r) => sameHolder(r, of)).length;
 }
@@ -94,36 +94,36 @@
   return Math.max(0, row.reserved.reduce((n, r) => n - r.part, 1));
 }
 
-/** Rows for `seats` seats; what is above is dropped, what lacks is empty. */
+/** Truncates the rows to `seats`, or extends them with vacant rows. */
 export function resizeRows(rows: readonly SeatRow[], seats: number): SeatRow[] {
   return Array.from({ length: seats }, (_, i) => rows[i] ?? EMPTY_ROW);
 }
 
-/** A row whose holder is now `to`, as from revision `revision`. */
+/** The row at `index`, assigned to `to` at `revision`. */
 export function assignRow(
   rows: readonly SeatRow[],
   index: number,
-  { to, revision }: { to: Ask; revision: number },
+  { to, revision }: { to: RenewalRequest; revision: number },
 ): SeatRow {
   const row = rows[index] ?? EMPTY_ROW;
-  const already = rows.find((r) => sameHolder(r, to));
+  const existing = rows.find((r) => sameHolder(r, to));
   return {
     holder: to.holder,
     incarnation: to.incarnation,
     epoch: row.epoch + 1,
     renewedMs: to.askedMs,
     seen: to.seen,
-    since: already?.since ?? revision,
+    since: existing?.since ?? revision,
     reserved: row.reserved,
   };
 }
 
-/** A row that its holder gave up. */
+/** The row after its holder released it. */
 export function releaseRow(row: SeatRow): SeatRow {
   return { ...EMPTY_ROW, epoch: row.epoch + 1, reserved: row.reserved };
 }
 
-/** A row of which the holder that fell silent keeps its floor. */
+/** The row with the floor of its silent holder reserved. */
 export function reserveFloor(row: SeatRow, floor: number): SeatRow {
   const { holder, incarnation, epoch } = row;
   const part = usablePart(row) * floor;
--- a/src/membership/seats.ts
+++ b/src/membership/seats.ts
@@ -1,23 +1,23 @@
 /**
- * Seats: each availability zone has a fixed number of them, and whatever is
- * divided over instances (rates, slots, homes of operations) is divided over
- * seats, so that the parts add up to the whole however instances come and go.
+ * Seats: each availability zone has a fixed number of them. Rates, slots and
+ * homes of operations are divided over seats rather than instances, so that the
+ * parts add up to the whole while instances join and leave.
  *
  * @module
  */
 import type { InstanceId, ZoneId } from "../core/mod.ts";
 
-/** Names a seat; `index` is from 0, below the zone's number of instances. */
+/** Identifies a seat; `index` runs from 0 to the zone's `instances` minus 1. */
 export interface Seat {
   readonly zone: ZoneId;
   readonly index: number;
 }
 
-/** A seat as the directory knows it. */
+/** A seat as recorded in the directory. */
 export interface SeatEntry extends Seat {
   readonly holder: InstanceId | undefined;
   readonly incarnation: string;
-  /** Rises by one each time the holder changes; fences an earlier holder. */
+  /** Increases by one with each change of holder; fences earlier holders. */
   readonly epoch: number;
 }
 
@@ -25,18 +25,18 @@
 export interface HeldSeat extends Seat {
   readonly epoch: number;
   /**
-   * How much of the seat may be used, from 0 to 1: all of it while the lease
-   * is renewed, the floor alone when its holder has heard nobody for long.
+   * How much of the seat may be used, from 0 to 1: less what is reserved for
+   * earlier holders, and only the floor of that once the lease has expired.
    */
   readonly part: number;
-  /** When this ends unless renewed, on the clock of `now`. */
+  /** When this expires unless renewed, on the clock of `now`. */
   readonly until: number;
 }
 
-/** Who holds which seat. */
+/** Tracks which instance holds which seat. */
 export interface SeatDirectory {
-  /** Seats this instance surely holds at `now`; none after a long pause. */
+  /** Seats that this instance safely holds at `now`, also after a pause. */
   held(now: number): readonly HeldSeat[];
-  /** Every seat known, of this zone and of others. */
+  /** All known seats, of this zone and of others. */
   entries(): readonly SeatEntry[];
 }
--- a/src/membership/testing/faulty_platform.ts
+++ b/src/membership/testing/faulty_platform.ts
@@ -1,5 +1,5 @@
 /**
- * A platform for tests that is slow, down, stale, or loses answers.
+ * A platform for tests that is down, returns stale reads, or loses responses.
  *
  * @module
  */
@@ -12,33 +12,33 @@
   Versioned,
 } from "../../store/mod.ts";
 
-/** Chances of each fault, from 0 to 1. */
+/** Probability of each fault, from 0 to 1. */
 export interface PlatformFaults {
-  /** Calls fail at once. */
+  /** A call fails at once. */
   down: number;
-  /** A write takes effect up to `lateMs` later, and its answer is lost. */
+  /** A write may take effect up to `lateMs` later; its response is lost. */
   lost: number;
-  /** A read gives an earlier value. */
+  /** A read returns an earlier value. */
   stale: number;
   lateMs: number;
 }
 
-type Found = Result<Versioned<string> | undefined, Failure>;
+type ReadResult = Result<Versioned<string> | undefined, Failure>;
 
-/** How many reads are kept, to be shown again as stale ones. */
-const KEEP_CHANCE = 0.3;
+/** Probability that a read is kept, to be returned later as a stale one. */
+const SNAPSHOT_PROBABILITY = 0.3;
 
 /** No faults. */
 export function noFaults(): PlatformFaults {
   return { down: 0, lost: 0, stale: 0, lateMs: 3_000 };
 }
 
-/** Wraps a platform that is shared by many; the faults are the wrapper's. */
+/** Wraps a shared platform; faults apply to this wrapper only. */
 export class FaultyPlatform implements Platform {
   readonly #inner: Platform;
   readonly #clock: Clock;
   readonly #random: Random;
-  readonly #earlier = new Map<string, Versioned<string> | undefined>();
+  readonly #snapshots = new Map<string, Versioned<string> | undefined>();
   readonly faults: PlatformFaults = noFaults();
   calls = 0;
   writes = 0;
@@ -53,8 +53,8 @@
     key: string,
   ): Promise<Result<Versioned<string> | undefined, Failure>> {
     this.calls += 1;
-    if (this.#chance(this.faults.down)) return unavailable();
-    return this.#seen(key, await this.#inner.get(key));
+    if (this.#occurs(this.faults.down)) return unavailable();
+    return this.#maybeStale(key, await this.#inner.get(key));
   }
 
   async put(
@@ -64,22 +64,22 @@
   ): Promise<Result<string, Failure>> {
     this.calls += 1;
     this.writes += 1;
-    if (this.#chance(this.faults.down)) return unavailable();
-    if (!this.#chance(this.faults.lost)) {
+    if (this.#occurs(this.faults.down)) return unavailable();
+    if (!this.#occurs(this.faults.lost)) {
       return await this.#inner.put(key, value, condition);
     }
     const ms = this.#random.below(this.faults.lateMs + 1);
-    if (this.#chance(0.7)) {
+    if (this.#occurs(0.7)) {
       this.#clock.after(ms, () => void this.#inner.put(key, value, condition));
     }
-    return fail("platform_outcome_unknown", "the answer was lost");
+    return fail("platform_outcome_unknown", "the response was lost");
   }
 
   async list(
     prefix: string,
   ): Promise<Result<readonly Versioned<string>[], Failure>> {
     this.calls += 1;
-    if (this.#chance(this.faults.down)) return unavailable();
+    if (this.#occurs(this.faults.down)) return unavailable();
     return await this.#inner.list(prefix);
   }
 
@@ -89,21 +89,21 @@
     waitMs: number,
   ): Promise<Result<Versioned<string> | undefined, Failure>> {
     this.calls += 1;
-    if (this.#chance(this.faults.down)) return unavailable();
+    if (this.#occurs(this.faults.down)) return unavailable();
     const found = await this.#inner.watch(key, seen, waitMs);
-    if (this.#chance(this.faults.down)) return unavailable();
-    return this.#seen(key, found);
+    if (this.#occurs(this.faults.down)) return unavailable();
+    return this.#maybeStale(key, found);
   }
 
   async instances(): Promise<Result<readonly ListedInstance[], Failure>> {
     this.calls += 1;
-    if (this.#chance(this.faults.down)) return unavailable();
+    if (this.#occurs(this.faults.down)) return unavailable();
     return await this.#inner.instances();
   }
 
   async announce(entry: ListedInstance): Promise<Result<void, Failure>> {
     this.calls += 1;
-    if (this.#chance(this.faults.down)) return unavailable();
+    if (this.#occurs(this.faults.down)) return unavailable();
     return await this.#inner.announce(entry);
   }
 
@@ -111,18 +111,18 @@
     return Promise.resolve();
   }
 
-  /** What a copy that is behind shows, or what stands. */
-  #seen(key: string, found: Found): Found {
-    const isStale = this.#chance(this.faults.stale) && this.#earlier.has(key);
-    const earlier = this.#earlier.get(key);
-    if (found.isOk() && this.#chance(KEEP_CHANCE)) {
-      this.#earlier.set(key, found.value);
+  /** The result that was read, or an earlier one for the same key. */
+  #maybeStale(key: string, found: ReadResult): ReadResult {
+    const isStale = this.#occurs(this.faults.stale) && this.#snapshots.has(key);
+    const earlier = this.#snapshots.get(key);
+    if (found.isOk() && this.#occurs(SNAPSHOT_PROBABILITY)) {
+      this.#snapshots.set(key, found.value);
     }
     return isStale ? ok(earlier) : found;
   }
 
-  #chance(of: number): boolean {
-    return of > 0 && this.#random.next() < of;
+  #occurs(probability: number): boolean {
+    return probability > 0 && this.#random.next() < probability;
   }
 }
 
--- a/src/membership/testing/seat_fleet.ts
+++ b/src/membership/testing/seat_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Several instances' seats in one process, with clocks of their own, messages
- * that are dropped, late, repeated or cut, and one store.
+ * Simulates the seats of several instances with one store, separate clocks, and
+ * messages that are dropped, delayed, repeated or blocked.
  *
  * @module
  */
@@ -25,29 +25,29 @@
 export const STEP_MS = 100;
 /** The longest deadline of the fleet's document, in milliseconds. */
 export const DEADLINE_MS = 1_000;
-const MAX_INBOX = 50;
-const WINDOW = DEADLINE_MS / STEP_MS;
+const MAX_INBOX_MESSAGES = 50;
+const IN_FLIGHT_STEPS = DEADLINE_MS / STEP_MS;
 
-/** A clock that differs from the world's by an offset. */
+/** A clock at a fixed offset from the simulation's clock. */
 class OffsetClock implements Clock {
-  readonly #world: Clock;
+  readonly #base: Clock;
   readonly #offset: number;
 
-  constructor(world: Clock, offset: number) {
-    this.#world = world;
+  constructor(base: Clock, offset: number) {
+    this.#base = base;
     this.#offset = offset;
   }
 
   now(): number {
-    return this.#world.now() + this.#offset;
+    return this.#base.now() + this.#offset;
   }
 
   wall(): number {
-    return this.#world.wall();
+    return this.#base.wall();
   }
 
   after(ms: number, run: () => void): Timer {
-    return this.#world.after(ms, run);
+    return this.#base.after(ms, run);
   }
 }
 
@@ -63,19 +63,19 @@
   paused: boolean;
   leaving: boolean;
   inbox: (() => void)[];
-  /** Use of each seat at the last steps, newest last. */
-  readonly used: Map<number, number[]>;
+  /** Part of each seat in use at the latest steps, newest last. */
+  readonly usage: Map<number, number[]>;
 }
 
-/** Chances of what happens to a message. */
+/** Probabilities of message faults, and the longest delay. */
 export interface MessageFaults {
   drop: number;
   repeat: number;
-  /** Longest delay in steps. */
+  /** Longest delay, in steps. */
   delay: number;
 }
 
-/** A document with one zone a name, each with that many seats. */
+/** A document with the given number of seats in each zone. */
 export function seatDocument(zones: Record<string, number>): SteeringDocument {
   const entries = Object.entries(zones).map(([z, n]) => [z, { instances: n }]);
   return parseDocument({
@@ -84,17 +84,17 @@
   })._unsafeUnwrap();
 }
 
-/** A fleet over one store. */
+/** A fleet of instances that share one store. */
 export class SeatFleet {
-  readonly world: ManualClock = new ManualClock();
+  readonly clock: ManualClock = new ManualClock();
   readonly random: SeededRandom;
-  readonly store: MemoryPlatform = new MemoryPlatform(this.world);
+  readonly store: MemoryPlatform = new MemoryPlatform(this.clock);
   readonly nodes: FleetNode[] = [];
   readonly messages: MessageFaults = { drop: 0, repeat: 0, delay: 0 };
-  /** Pairs `from to` whose messages are lost, one way. */
-  readonly cuts: Set<string> = new Set();
+  /** One-way links, as `from to`, on which all messages are lost. */
+  readonly blockedLinks: Set<string> = new Set();
   document: SteeringDocument;
-  #born = 0;
+  #incarnations = 0;
 
   constructor(seed: number, zones: Record<string, number> = { z: 3 }) {
     this.random = new SeededRandom(seed);
@@ -103,9 +103,9 @@
 
   /** Starts an instance. */
   add(name: string, zone = "z"): FleetNode {
-    const clock = new OffsetClock(this.world, this.random.below(1_000_000));
-    const platform = new FaultyPlatform(this.store, this.world, this.random);
-    const incarnation = `${name}#${this.#born++}`;
+    const clock = new OffsetClock(this.clock, this.random.below(1_000_000));
+    const platform = new FaultyPlatform(this.store, this.clock, this.random);
+    const incarnation = `${name}#${this.#incarnations++}`;
     const seats = new LeasedSeats({
       instance: name as InstanceId,
       zone: zone as ZoneId,
@@ -127,54 +127,54 @@
       paused: false,
       leaving: false,
       inbox: [],
-      used: new Map(),
+      usage: new Map(),
     };
     this.nodes.push(node);
     return node;
   }
 
-  /** Ends an instance as `kill -9` does; its work at endpoints runs on. */
+  /** Ends an instance as `kill -9` does; its requests at endpoints continue. */
   kill(node: FleetNode): void {
     node.alive = false;
   }
 
-  /** Lets a paused instance go on; what was sent to it meanwhile arrives. */
+  /** Resumes a paused instance and delivers the messages in its inbox. */
   resume(node: FleetNode): void {
     node.paused = false;
     for (const deliver of node.inbox.splice(0)) deliver();
   }
 
-  /** Stops an instance in good order, after its work has ended. */
+  /** Stops an instance gracefully, as after its last request has ended. */
   async stop(node: FleetNode): Promise<void> {
     node.seats.leave();
     node.leaving = true;
-    node.used.clear();
+    node.usage.clear();
     await node.seats.handOver();
     for (const peer of this.#peersOf(node)) this.#exchange(node, peer);
     node.alive = false;
   }
 
-  /** Cuts or mends every way between two groups. */
+  /** Blocks or restores the links from one group to another, one way. */
   cut(from: readonly FleetNode[], to: readonly FleetNode[], on = true): void {
     for (const a of from) {
       for (const b of to) {
         const pair = `${a.name} ${b.name}`;
-        if (on) this.cuts.add(pair);
-        else this.cuts.delete(pair);
+        if (on) this.blockedLinks.add(pair);
+        else this.blockedLinks.delete(pair);
       }
     }
   }
 
-  /** Runs `ms` milliseconds; `check` is called after each step. */
+  /** Simulates `ms` milliseconds and calls `check` after each step. */
   async run(ms: number, check: () => void = () => {}): Promise<void> {
     for (let t = 0; t < ms; t += STEP_MS) {
-      this.world.advance(STEP_MS);
+      this.clock.advance(STEP_MS);
       for (const node of this.running()) {
         node.seats.run(node.clock.now());
         for (const peer of this.#peersOf(node)) this.#exchange(node, peer);
       }
       await setImmediate();
-      this.#record();
+      this.#recordUsage();
       check();
     }
   }
@@ -184,23 +184,23 @@
     return this.nodes.filter((n) => n.alive && !n.paused);
   }
 
-  /** The part of a zone's seats in use now, from 0 to the number of seats. */
-  inUse(zone = "z"): number {
+  /** Sum of the parts of a zone's seats in use. */
+  seatsInUse(zone = "z"): number {
     return this.running().filter((n) => n.zone === zone)
       .flatMap((n) => n.seats.held(n.clock.now()))
       .reduce((sum, s) => sum + s.part, 0);
   }
 
-  /** Parts held by one instance. */
+  /** Sum of the parts held by one instance. */
   heldBy(node: FleetNode): number {
     return node.seats.held(node.clock.now()).reduce((n, s) => n + s.part, 0);
   }
 
-  /** Seats of which more than the whole is in use, running work included. */
-  overused(): string[] {
+  /** Seats whose use, with requests still running, adds up to more than 1. */
+  overcommittedSeats(): string[] {
     const sums = new Map<string, number>();
     for (const node of this.nodes) {
-      for (const [index, parts] of node.used) {
+      for (const [index, parts] of node.usage) {
         const name = `${node.zone}/${index}`;
         const sum = (sums.get(name) ?? 0) + Math.max(0, ...parts);
         sums.set(name, sum);
@@ -210,8 +210,8 @@
       .map(([name, sum]) => `${name}: ${sum}`);
   }
 
-  /** Work begun at a step runs on for a deadline, also when its instance died. */
-  #record(): void {
+  /** Requests run for one deadline, even if their instance dies meanwhile. */
+  #recordUsage(): void {
     const seats = 1 + Math.max(
       0,
       ...this.nodes.flatMap((n) => n.seats.entries().map((e) => e.index)),
@@ -221,8 +221,10 @@
       const held = active ? node.seats.held(node.clock.now()) : [];
       for (let index = 0; index < seats; index++) {
         const part = held.find((s) => s.index === index)?.part ?? 0;
-        const parts = [...node.used.get(index) ?? [], part].slice(-WINDOW);
-        node.used.set(index, parts);
+        const parts = [...node.usage.get(index) ?? [], part].slice(
+          -IN_FLIGHT_STEPS,
+        );
+        node.usage.set(index, parts);
       }
     }
   }
@@ -244,20 +246,20 @@
 
   #send(from: FleetNode, to: FleetNode, deliver: () => void): void {
     const { drop, repeat, delay } = this.messages;
-    if (this.cuts.has(`${from.name} ${to.name}`)) return;
+    if (this.blockedLinks.has(`${from.name} ${to.name}`)) return;
     if (this.random.next() < drop) return;
     const copies = this.random.next() < repeat ? 2 : 1;
     for (let i = 0; i < copies; i++) {
-      this.#arrive(to, deliver, this.random.below(delay + 1) * STEP_MS);
+      this.#deliver(to, deliver, this.random.below(delay + 1) * STEP_MS);
     }
   }
 
-  /** A paused instance reads its messages when it goes on. */
-  #arrive(to: FleetNode, deliver: () => void, ms: number): void {
+  /** A paused instance receives its messages when it resumes. */
+  #deliver(to: FleetNode, deliver: () => void, ms: number): void {
     if (ms > 0) {
-      this.world.after(ms, () => this.#arrive(to, deliver, 0));
+      this.clock.after(ms, () => this.#deliver(to, deliver, 0));
     } else if (to.paused) {
-      to.inbox = [...to.inbox, deliver].slice(-MAX_INBOX);
+      to.inbox = [...to.inbox, deliver].slice(-MAX_INBOX_MESSAGES);
     } else if (to.alive) deliver();
   }
 }
--- a/src/peers/batch_stream.ts
+++ b/src/peers/batch_stream.ts
@@ -1,9 +1,8 @@
 /**
- * Batches to one peer over one kept stream.
+ * Batches to one peer over a persistent stream.
  *
- * A call of its own for each batch costs seven times the processor time, most
- * of it in headers and abort signals; one would see instances without any
- * request busy with each other.
+ * A separate call per batch costs seven times the processor time, mostly for
+ * headers and abort signals, and keeps instances busy without any request.
  *
  * @module
  */
@@ -16,13 +15,13 @@
 import { type Clock, fail, type Failure } from "../core/mod.ts";
 import type { Batch, PeerService } from "../gen/peer_pb.ts";
 
-interface Conversation {
+interface OpenStream {
   readonly batches: WritableIterable<Batch>;
   readonly answers: AsyncIterator<Batch>;
   readonly end: AbortController;
 }
 
-/** What a stream needs. */
+/** Dependencies of `BatchStream`. */
 export interface BatchStreamDeps {
   readonly client: Client<typeof PeerService>;
   readonly clock: Clock;
@@ -30,30 +29,33 @@
 }
 
 /**
- * A stream to one peer, opened when it is first needed and again after any
- * failure. Answers come in the order of batches; one batch waits at a time.
+ * A stream to one peer, opened on first use and reopened after a failure.
+ * Answers arrive in the order of the batches; only one may be outstanding.
  */
 export class BatchStream {
   readonly #deps: BatchStreamDeps;
-  #open: Conversation | undefined;
+  #current: OpenStream | undefined;
 
   constructor(deps: BatchStreamDeps) {
     this.#deps = deps;
   }
 
-  /** Sends a batch and gives its answer; fails with `peer_unavailable`. */
+  /** Sends a batch and returns its answer; fails with `peer_unavailable`. */
   async exchange(batch: Batch): Promise<Result<Batch, Failure>> {
-    const conversation = this.#open ??= this.#begin();
+    const current = this.#current ??= this.#openStream();
     const { clock, timeoutMs } = this.#deps;
-    // A stream whose answer is overdue is given up: the answer might come yet
-    // and would then be taken for the one to the next batch.
+    // Closes the stream on a time-out: a late answer would otherwise be taken
+    // for the answer to the next batch.
     const timer = clock.after(timeoutMs, () => this.close());
     try {
-      void conversation.batches.write(batch).catch(() => this.close());
-      const answer = await conversation.answers.next();
+      void current.batches.write(batch).catch(() => this.close());
+      const answer = await current.answers.next();
       if (!answer.done) return ok(answer.value);
       this.close();
-      return fail("peer_unavailable", "the peer ended the stream");
+      return fail(
+        "peer_unavailable",
+        "the peer closed the stream without an answer",
+      );
     } catch (cause) {
       this.close();
       return fail("peer_unavailable", String(cause));
@@ -62,13 +64,13 @@
     }
   }
 
-  /** Ends the stream; the next batch opens another. */
+  /** Closes the stream; the next batch opens another. */
   close(): void {
-    this.#open?.end.abort();
-    this.#open = undefined;
+    this.#current?.end.abort();
+    this.#current = undefined;
   }
 
-  #begin(): Conversation {
+  #openStream(): OpenStream {
     const end = new AbortController();
     const batches = createWritableIterable<Batch>();
     const answers = this.#deps.client
--- a/src/peers/batch_stream_test.ts
+++ b/src/peers/batch_stream_test.ts
@@ -27,7 +27,7 @@
   return answer.sender?.instance;
 }
 
-test("batches and single calls share one port", async (t) => {
+test("batches and unary calls share one port", async (t) => {
   const server = await openServer();
   const transport = new ConnectPeerTransport();
   for (const name of ["a", "b", "c"]) {
@@ -39,9 +39,9 @@
   await server.close();
 });
 
-test("a peer that restarts on its port is reached again", async (t) => {
-  // The process ends and another takes its place. A stream that was kept for
-  // ever would leave the two deaf to each other until one is restarted.
+test("the stream is reopened after a peer restarts on the same port", async (t) => {
+  // A peer's process is replaced. If the broken stream were kept, the two would
+  // exchange nothing until one of them restarts.
   const server = await openServer();
   const transport = new ConnectPeerTransport();
   await transport.exchange(server.url, batch("a"));
@@ -55,7 +55,7 @@
   await again.close();
 });
 
-test("nothing listens there", async (t) => {
+test("an exchange fails if no process listens at the URL", async (t) => {
   const closed = createServer();
   await new Promise<void>((resolve) => closed.listen(0, "127.0.0.1", resolve));
   const { port } = closed.address() as AddressInfo;
@@ -66,10 +66,10 @@
   await transport.close();
 });
 
-test("an overdue answer is never taken for the next one", async (t) => {
-  // A peer is paused and answers after its time. On the same stream that
-  // answer would come first and stand for the next batch, and leases would be
-  // counted from a request that had not asked for them.
+test("a late answer is never taken for the answer to the next batch", async (t) => {
+  // A paused peer answers after the time-out. On the same stream its answer
+  // would be taken for that to the next batch, and leases would be counted from
+  // a request that did not ask for them.
   const clock = new ManualClock();
   const streams: { answer: (b: Batch) => void }[] = [];
   const client = {
--- a/src/peers/connect_transport.ts
+++ b/src/peers/connect_transport.ts
@@ -1,5 +1,5 @@
 /**
- * Peer messages by connect-es over HTTP.
+ * Peer transport that uses connect-es over HTTP.
  *
  * @module
  */
@@ -41,23 +41,23 @@
 } from "./transport.ts";
 
 const DEFAULT_TIMEOUT_MS = 1_000;
-/** A part that comes later than this is of no use to the request that waits. */
+/** A loan that arrives later is of no use to the waiting request. */
 const BORROW_TIMEOUT_MS = 150;
 const CONTENT_TIMEOUT_MS = 5_000;
 const MAX_MESSAGE_BYTES = 4 * 1024 * 1024;
 
-/** Causes that come before a connection stands, so that nothing was sent. */
-const BEFORE_CONNECTION = new Set([
+/** Errors raised before a connection is established, so nothing was sent. */
+const CONNECT_ERROR_CODES = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
   "ENETUNREACH",
 ]);
 
-/** Sends batches over a kept stream a peer, and single calls beside it. */
+/** Sends batches over a persistent stream per peer, and unary calls. */
 export class ConnectPeerTransport implements PeerTransport, DocumentTransport {
   readonly #timeoutMs: number;
   readonly #clock: Clock;
-  readonly #callAgent = new Agent({ keepAlive: true, maxSockets: 64 });
+  readonly #unaryAgent = new Agent({ keepAlive: true, maxSockets: 64 });
   readonly #streams = new Map<string, PeerStream>();
   readonly #ledgers = new Map<string, Client<typeof LedgerService>>();
   readonly #documents = new Map<string, Client<typeof DocumentService>>();
@@ -147,7 +147,7 @@
       session.abort();
     }
     this.#streams.clear();
-    this.#callAgent.destroy();
+    this.#unaryAgent.destroy();
     return Promise.resolve();
   }
 
@@ -160,7 +160,7 @@
   }
 
   #openStream(peerUrl: string): PeerStream {
-    const session = new Http2SessionManager(peerUrl, PING);
+    const session = new Http2SessionManager(peerUrl, KEEPALIVE);
     const transport = createConnectTransport({
       baseUrl: peerUrl,
       httpVersion: "2",
@@ -177,7 +177,7 @@
   #budget(peerUrl: string): Client<typeof BudgetService> {
     const known = this.#budgets.get(peerUrl);
     if (known) return known;
-    const client = connect(BudgetService, peerUrl, this.#callAgent);
+    const client = createUnaryClient(BudgetService, peerUrl, this.#unaryAgent);
     this.#budgets.set(peerUrl, client);
     return client;
   }
@@ -185,7 +185,7 @@
   #ledger(peerUrl: string): Client<typeof LedgerService> {
     const known = this.#ledgers.get(peerUrl);
     if (known) return known;
-    const client = connect(LedgerService, peerUrl, this.#callAgent);
+    const client = createUnaryClient(LedgerService, peerUrl, this.#unaryAgent);
     this.#ledgers.set(peerUrl, client);
     return client;
   }
@@ -193,29 +193,33 @@
   #document(peerUrl: string): Client<typeof DocumentService> {
     const known = this.#documents.get(peerUrl);
     if (known) return known;
-    const client = connect(DocumentService, peerUrl, this.#callAgent);
+    const client = createUnaryClient(
+      DocumentService,
+      peerUrl,
+      this.#unaryAgent,
+    );
     this.#documents.set(peerUrl, client);
     return client;
   }
 }
 
-/** A stream and the connection it runs over. */
+/** A stream and its HTTP/2 connection. */
 interface PeerStream {
   readonly stream: BatchStream;
   readonly session: Http2SessionManager;
 }
 
 /**
- * A cut leaves a connection that answers nothing and does not end by itself;
- * pings find it, so that the next stream opens a new one.
+ * After a network partition a connection may stay open without any answer;
+ * pings detect this, so that the next stream opens a new connection.
  */
-const PING = {
+const KEEPALIVE = {
   pingIntervalMs: 2_000,
   pingTimeoutMs: 1_000,
   pingIdleConnection: false,
 };
 
-function connect<T extends DescService>(
+function createUnaryClient<T extends DescService>(
   service: T,
   baseUrl: string,
   agent: Agent,
@@ -235,19 +239,19 @@
   cause: unknown,
 ): Result<never, Failure> {
   return fail("peer_unavailable", `${peerUrl}: ${String(cause)}`, {
-    outcome: neverConnected(cause) ? "not-run" : "unknown",
+    outcome: failedToConnect(cause) ? "not-run" : "unknown",
   });
 }
 
-function neverConnected(cause: unknown): boolean {
+function failedToConnect(cause: unknown): boolean {
   for (let at = cause; at instanceof Error; at = at.cause) {
-    if ("code" in at && BEFORE_CONNECTION.has(String(at.code))) return true;
+    if ("code" in at && CONNECT_ERROR_CODES.has(String(at.code))) return true;
   }
   return false;
 }
 
 /**
- * The receiving side of single calls, as a handler for an HTTP server.
+ * Handles unary calls; a listener for an HTTP/1.1 server.
  *
  * @example
  * ```ts
@@ -277,7 +281,7 @@
 }
 
 /**
- * The receiving side of batches, as a handler for an HTTP/2 server.
+ * Handles streams of batches; a listener for an HTTP/2 server.
  *
  * @example
  * ```ts
--- a/src/peers/mod.ts
+++ b/src/peers/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Messages between instances.
+ * Transport and exchange of messages between instances.
  *
  * @module
  */
--- a/src/peers/peer_exchange.ts
+++ b/src/peers/peer_exchange.ts
@@ -1,6 +1,6 @@
 /**
- * One batch a tick and peer: each subsystem fills its part of the batch and
- * reads the peer's.
+ * Gossip between instances: per tick and peer, each subsystem fills its part of
+ * one batch and reads its part of the peer's answer.
  *
  * @module
  */
@@ -9,19 +9,19 @@
 import { type Batch, BatchSchema, type Sender } from "../gen/peer_pb.ts";
 import type { PeerTransport } from "./transport.ts";
 
-/** A part of the program that talks to its like at other instances. */
+/** A component that exchanges state with its counterpart at other instances. */
 export interface PeerSubsystem {
-  /** Adds what there is to tell the instance named `to`. */
+  /** Adds this subsystem's state for the instance `to` to the batch. */
   fill(batch: Batch, to: string): void;
   /**
-   * Takes in what another instance told. `askedAt` is when this instance sent
-   * the request that the batch answers; a batch that came unasked has none,
-   * and may have been under way for any time.
+   * Applies a batch from another instance. `askedAt` is when this instance sent
+   * the batch that this one answers; undefined for an unsolicited batch, which
+   * may have been delayed for any time.
    */
   absorb(batch: Batch, from: Sender, askedAt?: number): void;
 }
 
-/** Somebody to exchange batches with. */
+/** An instance to exchange batches with. */
 export interface ExchangePeer {
   readonly instance: string;
   readonly zone: string;
@@ -31,32 +31,31 @@
 /**
  * Ticks between two batches to an instance of another availability zone.
  *
- * A batch costs each end close to half a millisecond of processor time, so
- * batches to everybody every tick would grow with the fleet until instances do
- * little else; one would see their processors busy without any request. What
- * has to be quick (leases of seats, slots) stays within a zone, whose instances
- * are told every tick.
+ * A batch costs each end nearly 0.5 ms of processor time, so batches to all
+ * instances every tick would saturate the processors of a large fleet without
+ * any request. Only state that must spread quickly, such as seat leases and
+ * slots, needs every tick, and it stays within a zone.
  */
-const FAR_TICKS = 5;
+const REMOTE_ZONE_INTERVAL_TICKS = 5;
 
-/** What an exchange needs. */
+/** Dependencies of `PeerExchange`. */
 export interface PeerExchangeDeps {
   readonly transport: PeerTransport;
   readonly clock: Clock;
   readonly log: Log;
-  /** This instance as it now is. */
+  /** This instance's current identity and state. */
   readonly self: () => Sender;
-  /** Peers of this instance's own zone are told every tick. */
+  /** All peers; those of this instance's zone get a batch every tick. */
   readonly peers: () => readonly ExchangePeer[];
 }
 
-/** Exchanges batches with all peers, each at most once at a time. */
+/** Exchanges batches with all peers, at most one at a time with each. */
 export class PeerExchange {
   readonly #deps: PeerExchangeDeps;
   readonly #subsystems: PeerSubsystem[] = [];
-  readonly #busy = new Set<string>();
-  /** Ticks at which peers of other zones were told; forgotten with the peer. */
-  #toldAt = new Map<string, number>();
+  readonly #awaitingAnswer = new Set<string>();
+  /** The tick of the last batch to each peer, by URL. */
+  #lastSentTick = new Map<string, number>();
   #tick = 0;
   #sent = 0;
 
@@ -64,75 +63,76 @@
     this.#deps = deps;
   }
 
-  /** Batches sent since the start, answers to others' batches apart. */
+  /** Batches sent since the start, without answers to peers' batches. */
   get sent(): number {
     return this.#sent;
   }
 
-  /** Adds a subsystem, which takes part from the next batch on. */
+  /** Adds a subsystem, starting with the next batch. */
   register(subsystem: PeerSubsystem): void {
     this.#subsystems.push(subsystem);
   }
 
-  /** Starts this tick's exchanges; a peer that still owes an answer is left out. */
+  /** Starts this tick's exchanges; skips peers whose answer is outstanding. */
   run(): void {
     this.#tick += 1;
     const { zone } = this.#deps.self();
     const peers = this.#deps.peers();
-    this.#forgetAllBut(peers);
+    this.#pruneRemovedPeers(peers);
     for (const peer of peers) {
-      if (!this.#busy.has(peer.peerUrl) && this.#due(peer, zone)) {
+      if (!this.#awaitingAnswer.has(peer.peerUrl) && this.#due(peer, zone)) {
         void this.#exchange(peer);
       }
     }
   }
 
-  /** Tells all peers once more and waits for their answers; for the last word. */
+  /** Sends a final batch to all peers and waits for their answers. */
   async flush(): Promise<void> {
     const peers = this.#deps.peers();
     await Promise.all(peers.map((peer) => this.#exchange(peer)));
   }
 
-  /** Takes in a peer's batch and gives the one it gets back. */
+  /** Applies a peer's batch and returns the answer to it. */
   answer(batch: Batch): Batch {
-    this.#absorb(batch);
-    return this.#batchFor(batch.sender?.instance ?? "");
+    this.#receive(batch);
+    return this.#buildBatch(batch.sender?.instance ?? "");
   }
 
-  #forgetAllBut(peers: readonly ExchangePeer[]): void {
-    if (this.#toldAt.size <= peers.length) return;
+  #pruneRemovedPeers(peers: readonly ExchangePeer[]): void {
+    if (this.#lastSentTick.size <= peers.length) return;
     const urls = new Set(peers.map((p) => p.peerUrl));
-    const kept = [...this.#toldAt].filter(([url]) => urls.has(url));
-    this.#toldAt = new Map(kept);
+    const kept = [...this.#lastSentTick].filter(([url]) => urls.has(url));
+    this.#lastSentTick = new Map(kept);
   }
 
   #due(peer: ExchangePeer, zone: string): boolean {
     if (peer.zone === zone) return true;
-    const told = this.#toldAt.get(peer.peerUrl);
-    return told === undefined || this.#tick - told >= FAR_TICKS;
+    const lastSent = this.#lastSentTick.get(peer.peerUrl);
+    return lastSent === undefined ||
+      this.#tick - lastSent >= REMOTE_ZONE_INTERVAL_TICKS;
   }
 
   async #exchange(peer: ExchangePeer): Promise<void> {
-    this.#busy.add(peer.peerUrl);
-    this.#toldAt.set(peer.peerUrl, this.#tick);
+    this.#awaitingAnswer.add(peer.peerUrl);
+    this.#lastSentTick.set(peer.peerUrl, this.#tick);
     this.#sent += 1;
     const askedAt = this.#deps.clock.now();
-    const batch = this.#batchFor(peer.instance);
+    const batch = this.#buildBatch(peer.instance);
     const answer = await this.#deps.transport.exchange(peer.peerUrl, batch);
-    this.#busy.delete(peer.peerUrl);
-    if (answer.isOk()) this.#absorb(answer.value, askedAt);
+    this.#awaitingAnswer.delete(peer.peerUrl);
+    if (answer.isOk()) this.#receive(answer.value, askedAt);
     else {
       this.#deps.log.event("peer_unavailable", { peer: peer.instance });
     }
   }
 
-  #batchFor(instance: string): Batch {
+  #buildBatch(instance: string): Batch {
     const batch = create(BatchSchema, { sender: this.#deps.self() });
     for (const subsystem of this.#subsystems) subsystem.fill(batch, instance);
     return batch;
   }
 
-  #absorb(batch: Batch, askedAt?: number): void {
+  #receive(batch: Batch, askedAt?: number): void {
     if (batch.sender === undefined) return;
     for (const subsystem of this.#subsystems) {
       subsystem.absorb(batch, batch.sender, askedAt);
--- a/src/peers/peer_exchange_test.ts
+++ b/src/peers/peer_exchange_test.ts
@@ -36,9 +36,9 @@
   return sent.filter((s) => s === url).length;
 }
 
-test("zone-mates are told every tick, others every fifth", async (t) => {
-  // With everybody told every tick, messages grow with the fleet, and
-  // instances without any request spend a third of a core on each other.
+test("zone peers get a batch every tick, other peers every fifth", async (t) => {
+  // With batches to all peers every tick, messages grow with the fleet, and
+  // idle instances spend a third of a core on them.
   const { sent, exchange } = setup(true);
   for (let tick = 0; tick < 10; tick++) {
     exchange.run();
@@ -48,9 +48,9 @@
   t.is(count(sent, "far"), 2);
 });
 
-test("a peer that owes an answer gets no second batch", (t) => {
-  // A peer hangs. Without this, each tick would add a call that waits, until
-  // the sockets run out and nobody else can be told anything.
+test("no batch is sent to a peer whose answer is outstanding", (t) => {
+  // A peer hangs. Otherwise each tick would add a pending call, until sockets
+  // run out and no other peer can be reached.
   const { sent, exchange } = setup(false);
   for (let tick = 0; tick < 10; tick++) exchange.run();
   t.is(count(sent, "mate"), 1);
--- a/src/peers/peer_server.ts
+++ b/src/peers/peer_server.ts
@@ -1,6 +1,6 @@
 /**
- * The listener for other instances: HTTP/2 for kept streams of batches, and
- * HTTP/1.1 for single calls and forwarded requests, on one port.
+ * The listener for other instances: HTTP/2 for persistent batch streams, and
+ * HTTP/1.1 for unary calls and forwarded requests, on one port.
  *
  * @module
  */
@@ -22,7 +22,7 @@
   res: Http2ServerResponse,
 ) => void;
 
-/** What a peer server listens with. */
+/** Options of a peer server. */
 export interface PeerServerOptions {
   readonly host: string;
   readonly port: number;
@@ -32,23 +32,23 @@
 
 /** First bytes of an HTTP/2 connection (RFC 9113, 3.4). */
 const HTTP2_PREFACE = "PRI ";
-/** A connection that says nothing for this long is closed, in milliseconds. */
-const FIRST_BYTES_MS = 5_000;
+/** Closes a connection that sends no byte within this many milliseconds. */
+const FIRST_BYTES_TIMEOUT_MS = 5_000;
 
-/** Bytes that came in and went out, by connections that peers opened. */
+/** Bytes received and sent on connections that peers opened. */
 export interface PeerTraffic {
   readonly receivedBytes: number;
   readonly sentBytes: number;
 }
 
-/** A listening peer server. */
+/** Serves HTTP/1.1 and HTTP/2 on one port. */
 export class PeerServer {
   readonly url: string;
   readonly #tcp: TcpServer;
   readonly #http1: Server;
   readonly #http2: Http2Server;
   readonly #sockets = new Set<Socket>();
-  #ended: PeerTraffic = { receivedBytes: 0, sentBytes: 0 };
+  #closedTraffic: PeerTraffic = { receivedBytes: 0, sentBytes: 0 };
 
   private constructor(opts: PeerServerOptions, tcp: TcpServer) {
     this.#tcp = tcp;
@@ -60,7 +60,7 @@
     this.url = `http://${opts.host}:${port}`;
   }
 
-  /** Opens the listener; fails with `bad_settings` where the address is taken. */
+  /** Opens the listener; fails with `bad_settings` if it cannot listen. */
   static open(opts: PeerServerOptions): Promise<Result<PeerServer, Failure>> {
     const tcp = createTcpServer({ noDelay: true });
     return new Promise((resolve) => {
@@ -73,12 +73,12 @@
     });
   }
 
-  /** Bytes of all connections since the start, headers included. */
+  /** Traffic of all connections since the start, headers included. */
   traffic(): PeerTraffic {
-    return [...this.#sockets].reduce(addTraffic, this.#ended);
+    return [...this.#sockets].reduce(addTraffic, this.#closedTraffic);
   }
 
-  /** Cuts every connection. */
+  /** Stops listening and destroys every connection. */
   close(): Promise<void> {
     const closed = new Promise<void>((resolve) => {
       this.#tcp.close(() => resolve());
@@ -91,15 +91,15 @@
     this.#sockets.add(socket);
     socket.once("close", () => {
       this.#sockets.delete(socket);
-      this.#ended = addTraffic(this.#ended, socket);
+      this.#closedTraffic = addTraffic(this.#closedTraffic, socket);
     });
     socket.on("error", () => socket.destroy());
-    socket.setTimeout(FIRST_BYTES_MS, () => socket.destroy());
-    socket.once("readable", () => this.#hand(socket));
+    socket.setTimeout(FIRST_BYTES_TIMEOUT_MS, () => socket.destroy());
+    socket.once("readable", () => this.#dispatch(socket));
   }
 
-  /** Looks at the first bytes, puts them back and hands the socket on. */
-  #hand(socket: Socket): void {
+  /** Peeks at the first bytes and passes the socket to the matching server. */
+  #dispatch(socket: Socket): void {
     const first: Uint8Array | null = socket.read();
     if (first === null) return;
     socket.setTimeout(0);
--- a/src/peers/transport.ts
+++ b/src/peers/transport.ts
@@ -1,6 +1,6 @@
 /**
- * How instances reach each other, as an interface, so that tests drop, delay
- * and cut without sockets.
+ * Interfaces for calls between instances, so that tests can drop, delay and
+ * block messages without sockets.
  *
  * @module
  */
@@ -19,7 +19,7 @@
 } from "../gen/document_pb.ts";
 import type { Batch } from "../gen/peer_pb.ts";
 
-/** Answers a peer's batch with one's own. */
+/** Answers a peer's batch with a batch of this instance. */
 export type BatchHandler = (batch: Batch) => Batch;
 
 /** Answers calls about operations. */
@@ -34,10 +34,10 @@
   fetchContent(digest: string): FetchContentResponse;
 }
 
-/** Answers a peer's question for part of a budget. */
+/** Answers a peer's request for part of a budget. */
 export type BorrowHandler = (call: BorrowCall) => BorrowAnswer;
 
-/** What an instance answers beside batches. */
+/** Handlers of unary calls. */
 export interface PeerHandlers {
   readonly ledger?: LedgerHandler;
   readonly borrow?: BorrowHandler;
@@ -46,24 +46,24 @@
 
 /** The sending side of one instance. */
 export interface PeerTransport {
-  /** Sends a batch and gives the peer's; fails with `peer_unavailable`. */
+  /** Sends a batch and returns the answer; fails with `peer_unavailable`. */
   exchange(peerUrl: string, batch: Batch): Promise<Result<Batch, Failure>>;
   /**
    * Settles operations at a peer. A failure's outcome is `not-run` where the
-   * message surely did not arrive, else `unknown`.
+   * message certainly did not arrive, else `unknown`.
    */
   settle(
     peerUrl: string,
     req: SettleRequest,
     timeoutMs: number,
   ): Promise<Result<SettleResponse, Failure>>;
-  /** Runs an operation at its home; failures as with `settle`. */
+  /** Runs an operation at its home; fails as `settle` does. */
   forward(
     peerUrl: string,
     req: ForwardRequest,
     timeoutMs: number,
   ): Promise<Result<ForwardResponse, Failure>>;
-  /** Asks for part of a budget; fails with `peer_unavailable`. */
+  /** Requests part of a budget; fails with `peer_unavailable`. */
   borrow(
     peerUrl: string,
     call: BorrowCall,
@@ -73,7 +73,7 @@
 
 /** The sending side of calls for the document in force. */
 export interface DocumentTransport {
-  /** Fetches the manifest that a peer has in force. */
+  /** Fetches the manifest in force at a peer. */
   fetchManifest(
     peerUrl: string,
   ): Promise<Result<FetchManifestResponse, Failure>>;
--- a/src/slo/burn_publisher.ts
+++ b/src/slo/burn_publisher.ts
@@ -1,10 +1,10 @@
 /**
- * Brings the counts of a zone's instances into the store.
+ * Publishes the counts of a zone's instances to the store.
  *
- * Each instance tells the zone's duty holder its totals by the peers' batch;
- * the holder merges them into the hour's summary with one read and one write a
- * minute, so the store's load grows with the zones and not with the instances.
- * Without summaries in the store a report would be lost with the instances.
+ * Each instance reports its totals in the peer batch to one writer per zone,
+ * which merges them into the hour's summary with one read and one write a
+ * minute, so that store load grows with zones and not with instances. Without
+ * summaries in the store, counts would be lost when instances stop.
  *
  * @module
  */
@@ -30,12 +30,12 @@
   type ZoneSummary,
 } from "./summary.ts";
 
-/** An instance of the own zone. */
-export interface ZoneMate {
+/** Another instance of this zone. */
+export interface ZonePeer {
   readonly instance: string;
 }
 
-/** What a publisher needs. */
+/** Dependencies of `BurnPublisher`. */
 export interface BurnPublisherDeps {
   readonly platform: Platform;
   readonly clock: Clock;
@@ -43,42 +43,42 @@
   readonly metrics: Metrics;
   readonly log: Log;
   readonly self: { instance: string; zone: string; incarnation: string };
-  /** Live instances of the own zone, without this one. */
-  readonly mates: () => readonly ZoneMate[];
+  /** Live instances of this zone, without this one. */
+  readonly mates: () => readonly ZonePeer[];
 }
 
-/** How often an instance tells its totals, in milliseconds. */
-export const TELL_EVERY_MS = 10_000;
-/** How often the holder writes, in milliseconds; a part of it is drawn by lot. */
-export const WRITE_EVERY_MS = 60_000;
-/** Writers a holder keeps rows of; a zone has far fewer instances. */
+/** Interval between an instance's reports of its totals, in milliseconds. */
+export const REPORT_INTERVAL_MS = 10_000;
+/** Mean interval between writes, in milliseconds, ±25 % jitter. */
+export const WRITE_INTERVAL_MS = 60_000;
+/** Maximum number of instances to keep rows of; a zone has far fewer. */
 const MAX_WRITERS = 200;
-const MAX_ROWS_A_MESSAGE = 6_000;
-const MAX_WRITE_TRIES = 3;
+const MAX_ROWS_PER_MESSAGE = 6_000;
+const MAX_WRITE_ATTEMPTS = 3;
 
-/** Counts, tells and, if it is this instance's duty, writes. */
+/** Counts and reports; writes if this instance is the zone's writer. */
 export class BurnPublisher implements PeerSubsystem {
   readonly counts: BurnCounts = new BurnCounts();
   readonly #deps: BurnPublisherDeps;
-  readonly #heard = new Map<string, readonly BurnRow[]>();
-  #toldAt = -Infinity;
+  readonly #receivedRows = new Map<string, readonly BurnRow[]>();
+  #lastReportAt = -Infinity;
   #nextWriteAt: number;
   #writing = false;
 
   constructor(deps: BurnPublisherDeps) {
     this.#deps = deps;
-    this.#nextWriteAt = deps.clock.now() + this.#pause();
+    this.#nextWriteAt = deps.clock.now() + this.#writeIntervalMs();
   }
 
-  /** Writes the zone's summary when it is due and this instance's duty. */
+  /** Writes the zone's summaries if due and this instance is the writer. */
   run(now: number): void {
     if (now < this.#nextWriteAt || this.#writing) return;
-    this.#nextWriteAt = now + this.#pause();
-    if (this.#holder() !== this.#deps.self.instance) return;
+    this.#nextWriteAt = now + this.#writeIntervalMs();
+    if (this.#writerInstance() !== this.#deps.self.instance) return;
     void this.flush();
   }
 
-  /** Writes what is known now; at a stop, so that nothing is lost. */
+  /** Writes all current rows; called at shutdown so that none are lost. */
   async flush(): Promise<void> {
     this.#writing = true;
     const writers = this.#writers();
@@ -90,8 +90,11 @@
 
   fill(batch: Batch, to: string): void {
     const now = this.#deps.clock.now();
-    if (to !== this.#holder() || now - this.#toldAt < TELL_EVERY_MS) return;
-    this.#toldAt = now;
+    if (
+      to !== this.#writerInstance() ||
+      now - this.#lastReportAt < REPORT_INTERVAL_MS
+    ) return;
+    this.#lastReportAt = now;
     const rows = this.counts.rows(this.#deps.clock.wall());
     batch.burn = create(BurnPartSchema, {
       rows: rows.map((row) =>
@@ -104,15 +107,17 @@
     const rows = batch.burn?.rows;
     if (rows === undefined || from.zone !== this.#deps.self.zone) return;
     const writer = writerName(from.instance, from.incarnation);
-    if (!this.#heard.has(writer) && this.#heard.size >= MAX_WRITERS) return;
+    if (
+      !this.#receivedRows.has(writer) && this.#receivedRows.size >= MAX_WRITERS
+    ) return;
     const now = Math.floor(this.#deps.clock.wall() / INTERVAL_MS);
-    // A sender whose clock is wrong would take the place of other hours.
-    const near = rows.slice(0, MAX_ROWS_A_MESSAGE)
+    // A sender with a wrong clock could replace other hours in the ring.
+    const plausible = rows.slice(0, MAX_ROWS_PER_MESSAGE)
       .filter((r) => Math.abs(r.interval - now) <= INTERVALS_PER_HOUR);
-    this.#heard.set(writer, near.map(fromMessage));
+    this.#receivedRows.set(writer, plausible.map(fromMessage));
   }
 
-  #holder(): string | undefined {
+  #writerInstance(): string | undefined {
     const { self, mates } = this.#deps;
     const members = [self.instance, ...mates().map((m) => m.instance)];
     return dutyHolder(`burn ${self.zone}`, members);
@@ -121,14 +126,14 @@
   #writers(): Map<string, readonly BurnRow[]> {
     const { self, clock } = this.#deps;
     const own = this.counts.rows(clock.wall());
-    const writers = new Map(this.#heard);
-    this.#heard.clear();
+    const writers = new Map(this.#receivedRows);
+    this.#receivedRows.clear();
     return writers.set(writerName(self.instance, self.incarnation), own);
   }
 
   /**
-   * A write that fails is made up for by the next, as rows are totals; a lost
-   * race against another writer is run again at once.
+   * A conflict with another writer is retried at once. Other failures are
+   * repaired by the next write, since rows are totals.
    */
   async #write(
     hour: number,
@@ -136,7 +141,7 @@
   ): Promise<void> {
     const { metrics, log } = this.#deps;
     let result = "conflict";
-    for (let i = 0; i < MAX_WRITE_TRIES && result === "conflict"; i++) {
+    for (let i = 0; i < MAX_WRITE_ATTEMPTS && result === "conflict"; i++) {
       result = await this.#writeOnce(hour, writers);
     }
     metrics.count("burn.writes", { result });
@@ -153,10 +158,10 @@
     if (found.isErr()) return found.error.code;
     const stored = found.value && parseSummary(found.value.value);
     if (stored && stored.hour > hour) return "ok";
-    const before: ZoneSummary = stored?.hour === hour
+    const existing: ZoneSummary = stored?.hour === hour
       ? stored
       : emptySummary(self.zone, hour);
-    const text = JSON.stringify(mergeSummary(before, writers));
+    const text = JSON.stringify(mergeSummary(existing, writers));
     if (text === found.value?.value) return "ok";
     const version = found.value?.version;
     const condition = version === undefined
@@ -166,8 +171,8 @@
     return put.isOk() ? "ok" : put.error.code;
   }
 
-  #pause(): number {
-    return WRITE_EVERY_MS * (0.75 + this.#deps.random.next() / 2);
+  #writeIntervalMs(): number {
+    return WRITE_INTERVAL_MS * (0.75 + this.#deps.random.next() / 2);
   }
 }
 
--- a/src/slo/burn_report.ts
+++ b/src/slo/burn_report.ts
@@ -1,12 +1,12 @@
 /**
  * Multi-window burn rates per service and client account, as in the Site
- * Reliability Workbook, chapter 5: a short window beside a long one, so that an
- * alert neither fires on a blip nor goes on after the trouble has ended.
+ * Reliability Workbook, chapter 5. A short window beside a long one keeps an
+ * alert from firing on a brief error spike and from lasting after recovery.
  *
  * @module
  */
 import type { SteeringDocument } from "../document/mod.ts";
-import { addRows, badOf, type BurnRow, INTERVAL_MS } from "./counts.ts";
+import { addRows, badCount, type BurnRow, INTERVAL_MS } from "./counts.ts";
 
 /** A window, in milliseconds. */
 export interface BurnWindow {
@@ -17,7 +17,7 @@
 const MINUTE_MS = 60_000;
 const HOUR_MS = 60 * MINUTE_MS;
 
-/** Every window that rates are told for. */
+/** The windows that burn rates are reported for. */
 export const WINDOWS: readonly BurnWindow[] = [
   { name: "5m", ms: 5 * MINUTE_MS },
   { name: "30m", ms: 30 * MINUTE_MS },
@@ -27,44 +27,44 @@
 ];
 
 /**
- * Pairs of windows and the burn rate above which both together call for
- * action; the workbook's figures: 2 % of a month's budget in an hour, 5 % in
- * six hours, 10 % in three days.
+ * Pairs of windows and the burn rate that both must exceed for an alert, as in
+ * the workbook: 2 % of a month's budget in an hour, 5 % in six hours, 10 % in
+ * three days.
  */
 export const ALERTS = [
-  { short: "5m", long: "1h", above: 14.4 },
-  { short: "30m", long: "6h", above: 6 },
-  { short: "6h", long: "3d", above: 1 },
+  { short: "5m", long: "1h", threshold: 14.4 },
+  { short: "30m", long: "6h", threshold: 6 },
+  { short: "6h", long: "3d", threshold: 1 },
 ] as const;
 
-/** How one window went. */
+/** Counts and burn rates of one window. */
 export interface WindowBurn {
   readonly window: string;
   readonly good: number;
   readonly bad: number;
   readonly slow: number;
-  /** 1 uses the budget up exactly as fast as the objective allows. */
+  /** At 1 the error budget is used exactly as fast as the objective allows. */
   readonly availabilityBurn: number;
   readonly latencyBurn: number;
 }
 
-/** A point of a plot: an interval's start and its two burn rates. */
+/** A plotted point: an interval's start and its two burn rates. */
 export interface BurnPoint {
   readonly at: number;
   readonly availabilityBurn: number;
   readonly latencyBurn: number;
 }
 
-/** What one account got of one service; `*` stands for all accounts. */
+/** Burn of one account at one service; account `*` means all accounts. */
 export interface BurnEntry {
   readonly service: string;
   readonly account: string;
   readonly windows: readonly WindowBurn[];
-  /** Part of three days' budget that is left; below 0 it is overspent. */
+  /** Fraction of three days' error budget left; negative if overspent. */
   readonly budgetLeft: number;
-  /** What burned it in three days, by failure code, most first. */
+  /** Bad requests of three days by failure code, most frequent first. */
   readonly causes: readonly (readonly [string, number])[];
-  /** Pairs of windows that are above their rate, such as `5m/1h`. */
+  /** Pairs of windows above their threshold, such as `5m/1h`. */
   readonly alerts: readonly string[];
   readonly points: readonly BurnPoint[];
 }
@@ -73,11 +73,11 @@
 export interface BurnReport {
   readonly at: number;
   readonly entries: readonly BurnEntry[];
-  /** Zones whose summaries lack rows for want of room. */
+  /** Zones whose summaries omit rows because of the size limit. */
   readonly truncated: readonly string[];
 }
 
-/** What a report is made from. */
+/** Input of a report. */
 export interface BurnInput {
   readonly rows: readonly BurnRow[];
   readonly document: SteeringDocument;
@@ -86,7 +86,7 @@
   readonly truncated?: readonly string[];
 }
 
-/** Why a refusal counts: the account's whole fleet was within its rate. */
+/** Cause of a refusal while the account was within its rate in total. */
 export const WITHIN_RATE = "refused_within_rate";
 const ALL_ACCOUNTS = "*";
 const DEFAULT_OBJECTIVE = {
@@ -96,7 +96,7 @@
 };
 
 /**
- * Makes the report.
+ * Builds the report.
  *
  * @example
  * ```ts
@@ -104,7 +104,7 @@
  * ```
  */
 export function burnReport(input: BurnInput): BurnReport {
-  const rows = judgeRefusals(sumRows(input.rows), input);
+  const rows = reclassifyRefusals(sumRows(input.rows), input);
   const groups = new Map<string, BurnRow[]>();
   for (const row of rows) {
     for (const account of [ALL_ACCOUNTS, row.account]) {
@@ -113,36 +113,36 @@
     }
   }
   const entries = [...groups].sort(([a], [b]) => a < b ? -1 : 1)
-    .map(([key, group]) => entryOf(key, group, input));
+    .map(([key, group]) => buildEntry(key, group, input));
   return { at: input.wall, entries, truncated: input.truncated ?? [] };
 }
 
-/** Adds what instances and zones counted of the same thing. */
+/** Sums rows of all instances and zones by interval, service and account. */
 function sumRows(rows: readonly BurnRow[]): BurnRow[] {
   const sums = new Map<string, BurnRow>();
   for (const row of rows) {
     const key = `${row.interval} ${row.service} ${row.account}`;
-    const before = sums.get(key);
-    sums.set(key, before === undefined ? row : addRows(before, row));
+    const existing = sums.get(key);
+    sums.set(key, existing === undefined ? row : addRows(existing, row));
   }
   return [...sums.values()];
 }
 
 /**
- * A refusal as above the rate is wrongful where all that the account sent in
- * the interval, to all services and instances, was within its rate and burst.
- * One instance cannot know; the sum can. Judged over five minutes, a burst that
- * was rightly refused in a quiet interval counts as wrongful too.
+ * Counts refusals as bad if all that the account sent in the interval, to all
+ * services and instances, was within its rate and burst; a single instance
+ * cannot tell. Over five minutes, a burst rightly refused in an otherwise quiet
+ * interval counts as bad too.
  */
-function judgeRefusals(rows: BurnRow[], input: BurnInput): BurnRow[] {
+function reclassifyRefusals(rows: BurnRow[], input: BurnInput): BurnRow[] {
   const offered = new Map<string, number>();
   const key = (row: BurnRow) => `${row.interval} ${row.account}`;
   for (const row of rows) {
-    const sent = row.good + badOf(row) + row.refused;
+    const sent = row.good + badCount(row) + row.refused;
     offered.set(key(row), (offered.get(key(row)) ?? 0) + sent);
   }
   return rows.map((row) => {
-    const allowed = allowance(row, input);
+    const allowed = maxRequests(row, input);
     const wrongful = row.refused > 0 && allowed !== undefined &&
       (offered.get(key(row)) ?? 0) <= allowed;
     if (!wrongful) return row;
@@ -151,7 +151,7 @@
   });
 }
 
-function allowance(row: BurnRow, input: BurnInput): number | undefined {
+function maxRequests(row: BurnRow, input: BurnInput): number | undefined {
   const rates = input.document.rates as Readonly<
     Record<string, { readonly rate_per_s: number; readonly burst: number }>
   >;
@@ -162,7 +162,7 @@
   return rate.rate_per_s * ms / 1_000 + rate.burst;
 }
 
-function entryOf(
+function buildEntry(
   key: string,
   rows: readonly BurnRow[],
   { document, wall }: BurnInput,
@@ -173,10 +173,10 @@
   >;
   const objective = services[service]?.objective ?? DEFAULT_OBJECTIVE;
   const windows = WINDOWS.map(({ name, ms }) => {
-    // Whole intervals: the one the window begins in counts in full.
+    // The interval in which the window begins counts in full.
     const from = Math.floor((wall - ms) / INTERVAL_MS);
     const inside = rows.filter((r) => r.interval >= from);
-    return { window: name, ...burnOf(inside, objective) };
+    return { window: name, ...burnRates(inside, objective) };
   });
   const longest = windows.at(-1);
   return {
@@ -190,12 +190,12 @@
   };
 }
 
-function burnOf(
+function burnRates(
   rows: readonly BurnRow[],
   objective: typeof DEFAULT_OBJECTIVE,
 ): Omit<WindowBurn, "window"> {
   const good = rows.reduce((sum, r) => sum + r.good, 0);
-  const bad = rows.reduce((sum, r) => sum + badOf(r), 0);
+  const bad = rows.reduce((sum, r) => sum + badCount(r), 0);
   const slow = rows.reduce((sum, r) => sum + r.slow, 0);
   return {
     good,
@@ -230,7 +230,7 @@
     return Math.max(found?.availabilityBurn ?? 0, found?.latencyBurn ?? 0);
   };
   return ALERTS
-    .filter((a) => burn(a.short) > a.above && burn(a.long) > a.above)
+    .filter((a) => burn(a.short) > a.threshold && burn(a.long) > a.threshold)
     .map((a) => `${a.short}/${a.long}`);
 }
 
@@ -243,7 +243,7 @@
     byInterval.set(row.interval, [...byInterval.get(row.interval) ?? [], row]);
   }
   return [...byInterval].sort(([a], [b]) => a - b).map(([interval, group]) => {
-    const { availabilityBurn, latencyBurn } = burnOf(group, objective);
+    const { availabilityBurn, latencyBurn } = burnRates(group, objective);
     return { at: interval * INTERVAL_MS, availabilityBurn, latencyBurn };
   });
 }
--- a/src/slo/burn_test.ts
+++ b/src/slo/burn_test.ts
@@ -24,7 +24,7 @@
   MAX_ROWS,
   MAX_SUMMARY_BYTES,
   mergeSummary,
-  OTHERS,
+  OTHER_ACCOUNTS,
   parseSummary,
   reportHtml,
   reportText,
@@ -75,7 +75,7 @@
   })._unsafeUnwrap();
 }
 
-const COUNTED: [string, Partial<RequestOutcome>, Partial<BurnRow>][] = [
+const COUNT_CASES: [string, Partial<RequestOutcome>, Partial<BurnRow>][] = [
   ["a quick answer is good", {}, { good: 1 }],
   ["a slow answer is good and slow", { ms: 101 }, { good: 1, slow: 1 }],
   [
@@ -83,16 +83,22 @@
     { status: 502 },
     { causes: { status_502: 1 } },
   ],
-  ["an error of the caller's making is good", { status: 404 }, { good: 1 }],
+  ["a client error status from the endpoint is good", { status: 404 }, {
+    good: 1,
+  }],
   [
-    "want of room is bad",
+    "a request refused for lack of capacity is bad",
     { result: "no_capacity" },
     { causes: { no_capacity: 1 } },
   ],
-  ["above the rate is refused", { result: "rate_exceeded" }, { refused: 1 }],
+  [
+    "a request above the account's rate is refused",
+    { result: "rate_exceeded" },
+    { refused: 1 },
+  ],
 ];
 
-for (const [name, over, expected] of COUNTED) {
+for (const [name, over, expected] of COUNT_CASES) {
   test(`counted: ${name}`, (t) => {
     const counts = new BurnCounts();
     counts.record(outcome(over), NOW);
@@ -100,7 +106,7 @@
   });
 }
 
-test("what the caller gave up or got wrong is not counted", (t) => {
+test("cancelled and invalid requests are not counted", (t) => {
   const counts = new BurnCounts();
   for (const result of ["cancelled", "bad_request", "not_found"] as const) {
     counts.record(outcome({ result }), NOW);
@@ -108,16 +114,16 @@
   t.deepEqual(counts.rows(NOW), []);
 });
 
-test("ever new accounts do not make the counts grow", (t) => {
-  // Somebody works through very many accounts. Each with a row of its own
-  // would fill the memory of every instance and the zone's summary.
+test("the number of rows is bounded for any number of accounts", (t) => {
+  // Requests arrive for very many accounts. A row for each would exhaust the
+  // memory of every instance and the size of the zone's summary.
   const counts = new BurnCounts();
   for (let i = 0; i < MAX_ROWS + 500; i++) {
     counts.record(outcome({ account: AccountId.parse(`a${i}`) }), NOW);
   }
   const rows = counts.rows(NOW);
   t.is(rows.length, MAX_ROWS + 1);
-  t.is(rows.find((r) => r.account === OTHERS)?.good, 500);
+  t.is(rows.find((r) => r.account === OTHER_ACCOUNTS)?.good, 500);
   t.deepEqual(counts.rows(NOW + 3 * INTERVAL_MS), []);
 });
 
@@ -133,7 +139,7 @@
   t.is(entry?.budgetLeft.toFixed(6), "-19.000000");
 });
 
-test("trouble that has ended burns the long window and alerts no more", (t) => {
+test("past failures burn the long window but no longer alert", (t) => {
   const rows = [
     row({ interval: 985, good: 0, causes: { x: 50 } }),
     row({ interval: 999, good: 50 }),
@@ -145,8 +151,8 @@
 });
 
 test("a refusal within the rate burns budget, one above it does not", (t) => {
-  // One instance refuses by its own share; whether the account was above its
-  // rate only the sum over all instances tells. 310 fit into the interval.
+  // An instance refuses by its own share; only the sum over all instances shows
+  // whether the account exceeded its rate, here 310 requests per interval.
   const within = [
     row({ good: 200, refused: 50 }),
     row({ good: 30, refused: 5 }),
@@ -158,7 +164,7 @@
   t.deepEqual(causes(above), []);
 });
 
-test("text and HTML tell the same, and HTML needs nothing else", (t) => {
+test("text and HTML show the same data, and the HTML is self-contained", (t) => {
   const rows = [row({ good: 50, causes: { "<script>": 50 } })];
   const report = burnReport({ rows, document: document(), wall: NOW });
   t.regex(reportText(report), /mapview a1 {2}budget left .*ALERT 5m\/1h/);
@@ -170,8 +176,8 @@
 function zone() {
   const clock = new ManualClock();
   clock.advance(NOW);
-  const truth = new MemoryPlatform(clock);
-  const platform = new FaultyPlatform(truth, clock);
+  const store = new MemoryPlatform(clock);
+  const platform = new FaultyPlatform(store, clock);
   const names = ["i1", "i2", "i3"];
   const publishers = names.map((instance, i) =>
     new BurnPublisher({
@@ -186,7 +192,7 @@
     })
   );
   const holder = names.indexOf(dutyHolder("burn gulf-a", names) ?? "");
-  const tell = (from: number, to: number) => {
+  const sendReport = (from: number, to: number) => {
     const sender = create(SenderSchema, {
       instance: names[from] ?? "",
       zone: "gulf-a",
@@ -198,20 +204,20 @@
     return batch;
   };
   const stored = async () => {
-    const found = await truth.get(summaryKey("gulf-a", Math.floor(1_000 / 12)));
+    const found = await store.get(summaryKey("gulf-a", Math.floor(1_000 / 12)));
     const text = found._unsafeUnwrap()?.value ?? "";
     return rowsOf(
       parseSummary(text) ??
         { zone: "", hour: 0, writers: {}, truncated: false },
     );
   };
-  return { clock, platform, publishers, holder, tell, stored };
+  return { clock, platform, publishers, holder, sendReport, stored };
 }
 
-test("the duty holder alone writes what the zone's instances counted", async (t) => {
-  const { clock, platform, publishers, holder, tell, stored } = zone();
+test("only the zone's writer writes the counts of its instances", async (t) => {
+  const { clock, platform, publishers, holder, sendReport, stored } = zone();
   for (const p of publishers) p.counts.record(outcome(), clock.wall());
-  for (const from of [0, 1, 2]) if (from !== holder) tell(from, holder);
+  for (const from of [0, 1, 2]) if (from !== holder) sendReport(from, holder);
   clock.advance(80_000);
   for (const p of publishers) p.run(clock.now());
   await new Promise((resolve) => setImmediate(resolve));
@@ -220,13 +226,13 @@
   t.is(platform.calls.get("put"), 1);
 });
 
-test("a message told twice and a write whose answer is lost count once", async (t) => {
-  // The network repeats a message and the store's answer is lost, so the same
-  // rows are written again. Counted twice, a report would show false burn.
-  const { clock, platform, publishers, holder, tell, stored } = zone();
+test("a repeated message and a write with a lost response count once", async (t) => {
+  // The network repeats a message and the store's response is lost, so the same
+  // rows are written again. Counting them twice would report false burn.
+  const { clock, platform, publishers, holder, sendReport, stored } = zone();
   const other = (holder + 1) % 3;
   publishers[other]?.counts.record(outcome(), clock.wall());
-  const batch = tell(other, holder);
+  const batch = sendReport(other, holder);
   platform.faults.loseAnswers = "applied";
   await publishers[holder]?.flush();
   platform.faults.loseAnswers = "none";
@@ -236,7 +242,7 @@
   t.is((await stored()).reduce((sum, r) => sum + r.good, 0), 1);
 });
 
-test("a store that is down loses nothing that the next write brings", async (t) => {
+test("counts from a store outage are written by the next write", async (t) => {
   const { clock, platform, publishers, stored } = zone();
   publishers[0]?.counts.record(outcome(), clock.wall());
   platform.faults.down = true;
@@ -246,9 +252,9 @@
   t.is((await stored()).length, 1);
 });
 
-test("a summary that is full takes no more rows and says so", (t) => {
-  // A zone has very many instances and accounts. Past the store's megabyte the
-  // write would fail, and with it all that the zone counted.
+test("a full summary omits further rows and is marked as truncated", (t) => {
+  // With very many instances and accounts, a summary beyond the store's limit
+  // of one megabyte could not be written, and the zone's counts would be lost.
   const rows = (n: number) =>
     Array.from({ length: n }, (_, i) => row({ account: `account-${i}` }));
   const writers = new Map([["i1/1", rows(12_000)], ["i2/1", rows(12_000)]]);
@@ -259,13 +265,13 @@
   t.true(JSON.stringify(merged).length <= MAX_SUMMARY_BYTES);
 });
 
-test("rows of a sender whose clock is wrong are left out", async (t) => {
-  // An instance's clock stands a day ahead. Its rows would take the place of
-  // hours to come, whose counts would then be dropped.
-  const { clock, publishers, holder, tell, stored } = zone();
+test("rows of a sender with a wrong clock are dropped", async (t) => {
+  // An instance's clock is a day ahead. Its rows would occupy the ring entries
+  // of later hours, whose counts would then be dropped.
+  const { clock, publishers, holder, sendReport, stored } = zone();
   const other = (holder + 1) % 3;
   publishers[other]?.counts.record(outcome(), clock.wall() + 86_400_000);
-  tell(other, holder);
+  sendReport(other, holder);
   await publishers[holder]?.flush();
   t.deepEqual(await stored(), []);
 });
--- a/src/slo/counts.ts
+++ b/src/slo/counts.ts
@@ -1,5 +1,5 @@
 /**
- * What callers got, counted per interval, service and client account.
+ * Counts request outcomes per interval, service and client account.
  *
  * @module
  */
@@ -7,29 +7,29 @@
 
 /** Length of an interval, in milliseconds. */
 export const INTERVAL_MS = 300_000;
-/** Rows that one instance keeps; what is beyond is counted under `*`. */
+/** Maximum rows per instance; further accounts are counted under `*`. */
 export const MAX_ROWS = 2_000;
-/** Stands for accounts that no row of their own is kept for. */
-export const OTHERS = "*";
+/** Account name of rows for accounts beyond `MAX_ROWS`. */
+export const OTHER_ACCOUNTS = "*";
 
-/** What one account got of one service in one interval. */
+/** Outcomes of one account at one service in one interval. */
 export interface BurnRow {
   /** Intervals since the Unix epoch. */
   readonly interval: number;
   readonly service: string;
   readonly account: string;
   readonly good: number;
-  /** How many of the good were above the service's latency objective. */
+  /** Good requests that exceeded the service's latency objective. */
   readonly slow: number;
-  /** Turned away as above the account's rate. */
+  /** Requests refused because the account exceeded its rate. */
   readonly refused: number;
-  /** What was bad, by failure code. */
+  /** Bad requests by failure code. */
   readonly causes: Readonly<Record<string, number>>;
 }
 
 type Mutable<T> = { -readonly [K in keyof T]: T[K] };
 
-/** How one request ended. */
+/** The outcome of one request. */
 export interface RequestOutcome {
   readonly service: ServiceId;
   readonly account: AccountId;
@@ -40,8 +40,8 @@
   readonly latencyMs: number;
 }
 
-/** What the caller did wrong or gave up; it says nothing of the service. */
-const NOT_COUNTED: ReadonlySet<string> = new Set([
+/** Errors and cancellations by the caller, not counted for the objective. */
+const EXCLUDED_RESULTS: ReadonlySet<string> = new Set([
   "bad_request",
   "not_found",
   "unauthenticated",
@@ -51,16 +51,16 @@
   "cancelled",
 ]);
 const SERVER_ERROR = 500;
-const KEPT_INTERVALS = 3;
+const RETAINED_INTERVALS = 3;
 
-/** Counts outcomes; only the last intervals are kept. */
+/** Counts outcomes and retains the latest intervals. */
 export class BurnCounts {
   readonly #rows = new Map<string, Mutable<BurnRow>>();
 
   /** Counts a request that ended at `wall`, milliseconds since the epoch. */
   record(outcome: RequestOutcome, wall: number): void {
     const { result, status } = outcome;
-    if (NOT_COUNTED.has(result)) return;
+    if (EXCLUDED_RESULTS.has(result)) return;
     const row = this.#row(outcome, Math.floor(wall / INTERVAL_MS));
     if (result === "rate_exceeded") row.refused += 1;
     else if (result !== "ok") addCause(row, result);
@@ -71,9 +71,9 @@
     }
   }
 
-  /** Rows of the last intervals; older ones are let go. */
+  /** Returns the rows of the latest intervals and deletes older ones. */
   rows(wall: number): BurnRow[] {
-    const oldest = Math.floor(wall / INTERVAL_MS) - KEPT_INTERVALS + 1;
+    const oldest = Math.floor(wall / INTERVAL_MS) - RETAINED_INTERVALS + 1;
     for (const [key, row] of this.#rows) {
       if (row.interval < oldest) this.#rows.delete(key);
     }
@@ -84,7 +84,7 @@
     const { service } = outcome;
     const own = `${interval} ${service} ${outcome.account}`;
     const full = !this.#rows.has(own) && this.#rows.size >= MAX_ROWS;
-    const account = full ? OTHERS : outcome.account;
+    const account = full ? OTHER_ACCOUNTS : outcome.account;
     const key = `${interval} ${service} ${account}`;
     const known = this.#rows.get(key);
     if (known) return known;
@@ -121,7 +121,7 @@
   };
 }
 
-/** What was bad of a row. */
-export function badOf(row: BurnRow): number {
+/** Total of bad requests in a row. */
+export function badCount(row: BurnRow): number {
   return Object.values(row.causes).reduce((sum, n) => sum + n, 0);
 }
--- a/src/slo/mod.ts
+++ b/src/slo/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Service-level objectives: counting, summaries in the store, burn reports.
+ * Service-level objectives: counts, stored summaries and burn-rate reports.
  *
  * @module
  */
--- a/src/slo/report_text.ts
+++ b/src/slo/report_text.ts
@@ -1,5 +1,5 @@
 /**
- * A burn report as text and as one self-contained HTML file.
+ * Renders a burn report as text and as a self-contained HTML file.
  *
  * @module
  */
@@ -9,12 +9,12 @@
 const HEIGHT = 120;
 const PERCENT = 100;
 
-/** The report as text: one line for each service and account. */
+/** Renders the report as text: per service and account, rates and causes. */
 export function reportText(report: BurnReport): string {
   if (report.entries.length === 0) return "no requests were counted";
   const lines = report.entries.flatMap(entryLines);
   const cut = report.truncated.map((zone) =>
-    `zone ${zone}: rows were left out for want of room`
+    `zone ${zone}: rows were omitted because of the summary's size limit`
   );
   return [...lines, ...cut].join("\n");
 }
@@ -35,7 +35,7 @@
   return causes === "" ? [head] : [head, `  burned by ${causes}`];
 }
 
-/** The report as one HTML file with its plots as inline SVG. */
+/** Renders the report as one HTML file with plots as inline SVG. */
 export function reportHtml(report: BurnReport): string {
   const at = new Date(report.at).toISOString();
   return `<!doctype html>
--- a/src/slo/summary.ts
+++ b/src/slo/summary.ts
@@ -1,10 +1,10 @@
 /**
- * A zone's counts of one hour, as they stand in the store.
+ * A zone's counts of one hour, as stored.
  *
- * The store holds one object an hour and zone, in a ring of 74 hours, so their
- * number does not grow. Each writer's rows are totals under its own name:
- * merging what is there already changes nothing, so two members may write the
- * same by accident, and a lost answer is settled by writing again.
+ * The store holds one object per hour and zone in a ring of 74 hours, so the
+ * number of objects is bounded. Rows are totals per writer and merging is
+ * idempotent, so two instances may write the same rows, and a write of unknown
+ * outcome can simply be repeated.
  *
  * @module
  */
@@ -13,11 +13,11 @@
 import { strict } from "../core/mod.ts";
 import { type BurnRow, INTERVAL_MS } from "./counts.ts";
 
-/** Hours that the ring holds: three days, the running hour, and one to spare. */
+/** Hours in the ring: three days, the current hour and one spare. */
 export const RING_HOURS = 74;
 const HOUR_MS = 3_600_000;
 export const INTERVALS_PER_HOUR = HOUR_MS / INTERVAL_MS;
-/** Above this many bytes a summary takes no further writer's rows. */
+/** Rows that would make a summary larger than this many bytes are omitted. */
 export const MAX_SUMMARY_BYTES = 900_000;
 
 const Count = z.number().int().nonnegative().max(4_294_967_295);
@@ -39,14 +39,14 @@
   zone: z.string().max(64),
   /** Hours since the Unix epoch. */
   hour: z.number().int().nonnegative(),
-  /** Each writer's rows; a writer is one life of an instance. */
+  /** Rows by writer; a writer is an incarnation of an instance. */
   writers: z.record(z.string().max(200), z.array(StoredRow).max(100_000)),
-  /** Whether rows were left out for want of room. */
+  /** Whether rows were omitted because of the size limit. */
   truncated: z.boolean().default(false),
 });
 export type ZoneSummary = z.infer<typeof ZoneSummary>;
 
-/** All summaries stand below this key. */
+/** Key prefix of all summaries. */
 export const BURN_PREFIX = "status/burn/";
 
 /** The store key of a zone's summary of an hour. */
@@ -54,17 +54,17 @@
   return `${BURN_PREFIX}${zone}/${hour % RING_HOURS}`;
 }
 
-/** The hour that an interval lies in. */
+/** The hour that contains an interval. */
 export function hourOf(interval: number): number {
   return Math.floor(interval / INTERVALS_PER_HOUR);
 }
 
-/** An hour without any rows. */
+/** A summary without rows. */
 export function emptySummary(zone: string, hour: number): ZoneSummary {
   return { zone, hour, writers: {}, truncated: false };
 }
 
-/** Reads a summary; undefined if it is broken, since a report goes on without. */
+/** Parses a summary; undefined if invalid, since a report can do without it. */
 export function parseSummary(text: string): ZoneSummary | undefined {
   try {
     return ZoneSummary.safeParse(JSON.parse(text)).data;
@@ -73,7 +73,7 @@
   }
 }
 
-/** Takes writers' rows into a summary; the larger total of a row counts. */
+/** Merges writers' rows into a summary; per key the larger total wins. */
 export function mergeSummary(
   summary: ZoneSummary,
   writers: ReadonlyMap<string, readonly BurnRow[]>,
@@ -95,7 +95,7 @@
   return merged;
 }
 
-/** Every row of a summary, without its writer. */
+/** All rows of a summary, without their writers. */
 export function rowsOf(summary: ZoneSummary): BurnRow[] {
   return Object.values(summary.writers).flat().map(fromStored);
 }
@@ -106,8 +106,8 @@
 ): StoredRow[] {
   const merged = new Map(stored.map((r) => [keyOf(r), r]));
   for (const row of rows.map(toStored)) {
-    const before = merged.get(keyOf(row));
-    if (before === undefined || totalOf(row) >= totalOf(before)) {
+    const existing = merged.get(keyOf(row));
+    if (existing === undefined || totalOf(row) >= totalOf(existing)) {
       merged.set(keyOf(row), row);
     }
   }
