--- a/src/instance/document_follower.ts
+++ b/src/instance/document_follower.ts
@@ -97,7 +97,7 @@
     batch.generation = BigInt(Math.max(0, this.#generation));
   }
 
-  absorb(batch: Batch, from: Sender): void {
+  receive(batch: Batch, from: Sender): void {
     const told = Number(batch.generation);
     if (told <= this.#generation || told <= this.#rejectedGeneration) return;
     const { peerUrl } = from;
--- a/src/instance/document_in_force_test.ts
+++ b/src/instance/document_in_force_test.ts
@@ -116,7 +116,7 @@
 
 function tell(follower: DocumentFollower, generation: number): void {
   const batch = create(BatchSchema, { generation: BigInt(generation) });
-  follower.absorb(batch, PEER);
+  follower.receive(batch, PEER);
 }
 
 test("an instance without the store takes a newer document from a peer", async (t) => {
@@ -254,11 +254,11 @@
   const late = told(a!);
   for (let i = 0; i < 60; i++) {
     clock.advance(1_000);
-    b!.absorb(told(a!), PEER, clock.now());
-    a!.absorb(told(c!), PEER, clock.now());
-    a!.absorb(told(b!), PEER, clock.now());
+    b!.receive(told(a!), PEER, clock.now());
+    a!.receive(told(c!), PEER, clock.now());
+    a!.receive(told(b!), PEER, clock.now());
   }
-  a!.absorb(late, PEER);
+  a!.receive(late, PEER);
   t.is(a!.ageMs(), 60_000);
   t.is(b!.ageMs(), 60_000);
   t.is(c!.ageMs(), Infinity);
--- a/src/instance/fleet_budgets.ts
+++ b/src/instance/fleet_budgets.ts
@@ -29,7 +29,7 @@
 import type { SteeringDocument } from "../document/mod.ts";
 import type { BorrowAnswer, BorrowCall } from "../gen/budget_pb.ts";
 import type { Batch, Sender } from "../gen/peer_pb.ts";
-import { type SeatDirectory, settleMs } from "../membership/mod.ts";
+import { maxInFlightMs, type SeatDirectory } from "../membership/mod.ts";
 import type { PeerSubsystem, PeerTransport } from "../peers/mod.ts";
 import type { System } from "./tick_loop.ts";
 
@@ -120,7 +120,7 @@
 
   /** Takes over a newly accepted document, before the dispatcher does. */
   adopt(document: SteeringDocument, generation: number): void {
-    this.#restMs = settleMs(document);
+    this.#restMs = maxInFlightMs(document);
     this.#shares.adopt(document, generation, this.#deps.clock.now());
     this.limiter.adopt(document);
   }
@@ -135,7 +135,7 @@
     this.#exchange.fill(batch, to);
   }
 
-  absorb(batch: Batch, from: Sender): void {
+  receive(batch: Batch, from: Sender): void {
     this.#exchange.absorb(batch, from);
   }
 
--- a/src/instance/instance.ts
+++ b/src/instance/instance.ts
@@ -35,9 +35,9 @@
 import { SenderSchema } from "../gen/peer_pb.ts";
 import { create } from "@bufbuild/protobuf";
 import {
-  dutyHolder,
+  InstanceListPoller,
   type LeasedSeats,
-  ListReader,
+  rendezvousOwner,
   Roster,
 } from "../membership/mod.ts";
 import { HomeOperations } from "../operations/mod.ts";
@@ -199,7 +199,7 @@
         instance: cfg.instance.id,
         incarnation: this.#incarnation,
       },
-      mates: () =>
+      zonePeers: () =>
         this.#roster.live().filter((m) => m.zone === cfg.instance.zone),
     });
     this.#exchange.register(this.#burn);
@@ -363,7 +363,7 @@
       platform.instances(),
       this.#follower.start(),
     ]);
-    if (listed.isOk()) this.#roster.adoptList(listed.value);
+    if (listed.isOk()) this.#roster.applyList(listed.value);
     await this.#exchange.flush();
     await this.#follower.settled();
     this.#joined = true;
@@ -417,7 +417,7 @@
       watches: () => {
         const mates = this.#roster.live().filter((m) => m.zone === zone);
         const members = [id, ...mates.map((m) => m.instance)];
-        return dutyHolder(`watch ${zone}`, members) === id;
+        return rendezvousOwner(`watch ${zone}`, members) === id;
       },
       onDocument: (accepted) => this.#adopt(accepted),
     });
@@ -442,7 +442,7 @@
     ticks.add({ name: "burn", run: (now) => this.#burn.run(now) });
     ticks.add(this.#roster);
     ticks.add(
-      new ListReader({
+      new InstanceListPoller({
         ...this.#deps,
         instance: cfg.instance.id,
         zone: cfg.instance.zone,
--- a/src/instance/load_exchange.ts
+++ b/src/instance/load_exchange.ts
@@ -75,7 +75,7 @@
     batch.load = part;
   }
 
-  absorb(batch: Batch, from: Sender): void {
+  receive(batch: Batch, from: Sender): void {
     const { load } = batch;
     const peer = load && parsePeer(from, load, this.#deps.clock.now());
     if (load === undefined || peer === undefined) return;
--- a/src/instance/platform_contact.ts
+++ b/src/instance/platform_contact.ts
@@ -43,7 +43,7 @@
    * Only an answer counts, from when it was asked for: a message that came
    * late would make an old contact look new.
    */
-  absorb(batch: Batch, _from: Sender, askedAt?: number): void {
+  receive(batch: Batch, _from: Sender, askedAt?: number): void {
     const age = batch.document?.contactAgeMs;
     if (age === undefined || askedAt === undefined) return;
     if (age >= 0) this.note(askedAt - age);
--- a/src/instance/steering_test.ts
+++ b/src/instance/steering_test.ts
@@ -110,7 +110,7 @@
       for (const to of fleet.filter((f) => f !== from)) {
         const batch = create(BatchSchema, { sender: from.sender });
         from.steering.exchange.fill(batch, to.sender.instance);
-        to.steering.exchange.absorb(batch, from.sender);
+        to.steering.exchange.receive(batch, from.sender);
       }
     }
   };
--- a/src/instance/testing/budget_fleet.ts
+++ b/src/instance/testing/budget_fleet.ts
@@ -40,8 +40,8 @@
 } from "../../gen/peer_pb.ts";
 import {
   LeasedSeats,
+  maxInFlightMs,
   type SeatDirectory,
-  settleMs,
 } from "../../membership/mod.ts";
 import { FaultyPlatform } from "../../membership/testing/faulty_platform.ts";
 import type { PeerSubsystem } from "../../peers/mod.ts";
@@ -359,7 +359,7 @@
       instance,
       incarnation,
       zone,
-      restMs: settleMs(this.#generations[0]!.document),
+      restMs: maxInFlightMs(this.#generations[0]!.document),
       seats: () => figures()?.zones[zone] ?? 0,
     });
   }
@@ -409,8 +409,8 @@
   #absorb(node: FleetNode, from: FleetNode, batch: Batch): void {
     node.heardAt.set(from.instance, node.clock.now());
     const copy = clone(BatchSchema, batch);
-    node.seats.absorb?.(copy, from.sender);
-    node.budgets.absorb(copy, from.sender);
+    node.seats.receive?.(copy, from.sender);
+    node.budgets.receive(copy, from.sender);
   }
 
   #borrow(
--- a/src/membership/list_reader.ts
+++ b/src/membership/instance_list_poller.ts
@@ -11,7 +11,7 @@
  */
 import type { Clock, InstanceId, Random, ZoneId } from "../core/mod.ts";
 import type { Platform } from "../store/mod.ts";
-import { dutyHolder } from "./duty.ts";
+import { rendezvousOwner } from "./rendezvous_owner.ts";
 import type { Roster } from "./roster.ts";
 
 /** Longer than the list's lag, to find instances that started just before. */
@@ -23,7 +23,7 @@
 const JITTER = 0.2;
 
 /** Dependencies of the poller. */
-export interface ListReaderDeps {
+export interface InstanceListPollerDeps {
   readonly instance: InstanceId;
   readonly zone: ZoneId;
   readonly platform: Platform;
@@ -33,14 +33,14 @@
 }
 
 /** Updates the roster from the platform's list. */
-export class ListReader {
+export class InstanceListPoller {
   readonly name = "list";
-  readonly #deps: ListReaderDeps;
+  readonly #deps: InstanceListPollerDeps;
   readonly #startedAt: number;
   #dueAt = -Infinity;
   #reading = false;
 
-  constructor(deps: ListReaderDeps) {
+  constructor(deps: InstanceListPollerDeps) {
     this.#deps = deps;
     this.#startedAt = deps.clock.now();
   }
@@ -58,7 +58,7 @@
     this.#reading = true;
     const listed = await this.#deps.platform.instances();
     this.#reading = false;
-    if (listed.isOk()) this.#deps.roster.adoptList(listed.value);
+    if (listed.isOk()) this.#deps.roster.applyList(listed.value);
   }
 
   #intervalMs(now: number): number {
@@ -66,7 +66,7 @@
     const { instance, zone, roster } = this.#deps;
     const zonePeers = roster.live().filter((m) => m.zone === zone);
     const members = [instance, ...zonePeers.map((m) => m.instance)];
-    const owner = dutyHolder(`list ${zone}`, members);
+    const owner = rendezvousOwner(`list ${zone}`, members);
     return owner === instance ? OWNER_INTERVAL_MS : NON_OWNER_INTERVAL_MS;
   }
 }
--- a/src/membership/leased_seats.ts
+++ b/src/membership/leased_seats.ts
@@ -25,7 +25,7 @@
 import type { Batch, Sender } from "../gen/peer_pb.ts";
 import type { PeerSubsystem } from "../peers/mod.ts";
 import type { Platform } from "../store/mod.ts";
-import { rendezvousOrder } from "./duty.ts";
+import { rendezvousOrder } from "./rendezvous_owner.ts";
 import { currentLease, SeatPromiseTable } from "./seat_lease.ts";
 import { fromMessage, toMessage } from "./seat_messages.ts";
 import { SeatObserver } from "./seat_observer.ts";
@@ -39,7 +39,11 @@
   sameHolder,
   seatCount,
 } from "./seat_table.ts";
-import { SEAT_TIMING, type SeatTiming, settleMs } from "./seat_timing.ts";
+import {
+  DEFAULT_SEAT_TIMING,
+  maxInFlightMs,
+  type SeatTiming,
+} from "./seat_timing.ts";
 import type { HeldSeat, SeatDirectory, SeatEntry } from "./seats.ts";
 import { ZonePeerTable } from "./zone_peer_table.ts";
 import { RemoteSeatTables } from "./remote_seat_tables.ts";
@@ -95,7 +99,7 @@
 
   constructor(deps: LeasedSeatsDeps) {
     this.#deps = deps;
-    this.#timing = deps.timing ?? SEAT_TIMING;
+    this.#timing = deps.timing ?? DEFAULT_SEAT_TIMING;
     this.#self = { holder: deps.instance, incarnation: deps.incarnation };
     this.#store = new SeatStore(deps);
   }
@@ -190,7 +194,7 @@
     batch.membership = part;
   }
 
-  absorb(batch: Batch, from: Sender): void {
+  receive(batch: Batch, from: Sender): void {
     const part = batch.membership;
     if (part === undefined) return;
     const now = this.#deps.clock.now();
@@ -270,7 +274,7 @@
   }
 
   #maxInFlightMs(): number {
-    return settleMs(this.#deps.document());
+    return maxInFlightMs(this.#deps.document());
   }
 
   #plan(now: number): SeatPlan {
--- a/src/membership/mod.ts
+++ b/src/membership/mod.ts
@@ -3,9 +3,9 @@
  *
  * @module
  */
-export * from "./duty.ts";
+export * from "./rendezvous_owner.ts";
 export * from "./leased_seats.ts";
-export * from "./list_reader.ts";
+export * from "./instance_list_poller.ts";
 export * from "./ranked_seats.ts";
 export * from "./roster.ts";
 export * from "./seat_timing.ts";
--- a/src/membership/duty.ts
+++ b/src/membership/rendezvous_owner.ts
@@ -16,7 +16,7 @@
  * dutyHolder("watch", ["i1", "i2"]); // the same at every instance
  * ```
  */
-export function dutyHolder(
+export function rendezvousOwner(
   task: string,
   members: readonly string[],
 ): string | undefined {
--- a/src/membership/roster.ts
+++ b/src/membership/roster.ts
@@ -41,7 +41,7 @@
   }
 
   /** Applies the platform's list; members' own messages take precedence. */
-  adoptList(listed: readonly ListedInstance[]): void {
+  applyList(listed: readonly ListedInstance[]): void {
     this.#evict(new Set(listed.map((entry) => entry.instance)));
     for (const entry of listed) {
       if (entry.instance === this.#self) continue;
@@ -68,7 +68,7 @@
 
   fill(): void {}
 
-  absorb(_batch: Batch, from: Sender): void {
+  receive(_batch: Batch, from: Sender): void {
     const id = InstanceId.safeParse(from.instance);
     const zone = ZoneId.safeParse(from.zone);
     const region = RegionId.safeParse(from.region);
--- a/src/membership/roster_test.ts
+++ b/src/membership/roster_test.ts
@@ -9,7 +9,7 @@
 } from "../core/mod.ts";
 import { BatchSchema, SenderSchema } from "../gen/peer_pb.ts";
 import { type ListedInstance, MemoryPlatform } from "../store/mod.ts";
-import { ListReader } from "./list_reader.ts";
+import { InstanceListPoller } from "./instance_list_poller.ts";
 import { EVICT_AFTER_MS, MEMBER_TIMEOUT_MS, Roster } from "./roster.ts";
 
 function listed(id: string): ListedInstance {
@@ -26,7 +26,7 @@
 function receiveFrom(roster: Roster, id: string): void {
   const { peerUrl, callerUrl, zone, region } = listed(id);
   const sender = { instance: id, zone, region, peerUrl, callerUrl };
-  roster.absorb(create(BatchSchema), create(SenderSchema, sender));
+  roster.receive(create(BatchSchema), create(SenderSchema, sender));
 }
 
 function live(roster: Roster): string[] {
@@ -41,7 +41,7 @@
   receiveFrom(roster, "gone");
   receiveFrom(roster, "silent");
   clock.advance(EVICT_AFTER_MS + 1);
-  roster.adoptList([listed("silent")]);
+  roster.applyList([listed("silent")]);
   t.deepEqual(roster.members().map((m) => m.instance), ["silent"]);
 });
 
@@ -49,7 +49,7 @@
   const clock = new ManualClock();
   const roster = new Roster(clock, "self");
   receiveFrom(roster, "new");
-  roster.adoptList([]);
+  roster.applyList([]);
   t.deepEqual(live(roster), ["new"]);
 });
 
@@ -83,7 +83,7 @@
   const ids = Array.from({ length: 10 }, (_, i) => `i${i}`);
   const rosters = ids.map((id) => new Roster(clock, id));
   const readers = ids.map((id, i) =>
-    new ListReader({
+    new InstanceListPoller({
       instance: InstanceId.parse(id),
       zone: ZoneId.parse("z1"),
       platform: counted,
--- a/src/membership/seat_plan.ts
+++ b/src/membership/seat_plan.ts
@@ -22,7 +22,7 @@
   type SeatRow,
   type SeatTable,
 } from "./seat_table.ts";
-import { rendezvousOrder } from "./duty.ts";
+import { rendezvousOrder } from "./rendezvous_owner.ts";
 import type { SeatObserver } from "./seat_observer.ts";
 import type { SeatTiming } from "./seat_timing.ts";
 
--- a/src/membership/seat_timing.ts
+++ b/src/membership/seat_timing.ts
@@ -29,7 +29,7 @@
  * 0.2 costs a zone of two instances a tenth of its rate for 1 h after one is
  * killed, and leaves an isolated instance a fifth of its own rate.
  */
-export const SEAT_TIMING: SeatTiming = {
+export const DEFAULT_SEAT_TIMING: SeatTiming = {
   leaseMs: 3_000,
   clockDriftMs: 500,
   renewMs: 1_000,
@@ -49,7 +49,7 @@
  * Without this wait the next holder would use slots that are still occupied,
  * and an endpoint would get more requests than it has slots.
  */
-export function settleMs(document: SteeringDocument): number {
+export function maxInFlightMs(document: SteeringDocument): number {
   const deadlines = Object.values(document.services).flatMap((s) => [
     s.deadline_ms,
     ...s.routes.map((r) => r.deadline_ms ?? 0),
--- a/src/membership/testing/seat_fleet.ts
+++ b/src/membership/testing/seat_fleet.ts
@@ -237,10 +237,10 @@
     const batch = create(BatchSchema, { sender: senderOf(from) });
     from.seats.fill(batch, to.name);
     this.#send(from, to, () => {
-      to.seats.absorb(batch, senderOf(from));
+      to.seats.receive(batch, senderOf(from));
       const answer = create(BatchSchema, { sender: senderOf(to) });
       to.seats.fill(answer, from.name);
-      this.#send(to, from, () => from.seats.absorb(answer, senderOf(to)));
+      this.#send(to, from, () => from.seats.receive(answer, senderOf(to)));
     });
   }
 
--- a/src/operations/home_operations.ts
+++ b/src/operations/home_operations.ts
@@ -207,7 +207,7 @@
     this.#history.fill(batch.ledger, to);
   }
 
-  absorb(batch: Batch, from: Sender): void {
+  receive(batch: Batch, from: Sender): void {
     this.#replicas.recordSender(batch, from);
     if (from.region !== this.#deps.self.region) return;
     const replica = this.#replicas.byInstance(from.instance);
--- a/src/operations/testing/fake_fleet.ts
+++ b/src/operations/testing/fake_fleet.ts
@@ -431,7 +431,7 @@
         if (from === to || this.cuts.has(`${from.name} ${to.name}`)) continue;
         const batch = create(BatchSchema, { sender: from.sender() });
         from.operations.fill(batch, to.name);
-        to.operations.absorb(batch, from.sender());
+        to.operations.receive(batch, from.sender());
       }
     }
   }
--- a/src/peers/peer_exchange.ts
+++ b/src/peers/peer_exchange.ts
@@ -18,7 +18,7 @@
    * the batch that this one answers; undefined for an unsolicited batch, which
    * may have been delayed for any time.
    */
-  absorb(batch: Batch, from: Sender, askedAt?: number): void;
+  receive(batch: Batch, from: Sender, askedAt?: number): void;
 }
 
 /** An instance to exchange batches with. */
@@ -135,7 +135,7 @@
   #receive(batch: Batch, askedAt?: number): void {
     if (batch.sender === undefined) return;
     for (const subsystem of this.#subsystems) {
-      subsystem.absorb(batch, batch.sender, askedAt);
+      subsystem.receive(batch, batch.sender, askedAt);
     }
   }
 }
--- a/src/slo/burn_publisher.ts
+++ b/src/slo/burn_publisher.ts
@@ -10,7 +10,7 @@
  */
 import { create } from "@bufbuild/protobuf";
 import type { Clock, Log, Metrics, Random } from "../core/mod.ts";
-import { dutyHolder } from "../membership/mod.ts";
+import { rendezvousOwner } from "../membership/mod.ts";
 import {
   BurnPartSchema,
   type BurnRow as BurnMessage,
@@ -44,7 +44,7 @@
   readonly log: Log;
   readonly self: { instance: string; zone: string; incarnation: string };
   /** Live instances of this zone, without this one. */
-  readonly mates: () => readonly ZonePeer[];
+  readonly zonePeers: () => readonly ZonePeer[];
 }
 
 /** Interval between an instance's reports of its totals, in milliseconds. */
@@ -103,7 +103,7 @@
     });
   }
 
-  absorb(batch: Batch, from: Sender): void {
+  receive(batch: Batch, from: Sender): void {
     const rows = batch.burn?.rows;
     if (rows === undefined || from.zone !== this.#deps.self.zone) return;
     const writer = writerName(from.instance, from.incarnation);
@@ -118,9 +118,9 @@
   }
 
   #writerInstance(): string | undefined {
-    const { self, mates } = this.#deps;
+    const { self, zonePeers: mates } = this.#deps;
     const members = [self.instance, ...mates().map((m) => m.instance)];
-    return dutyHolder(`burn ${self.zone}`, members);
+    return rendezvousOwner(`burn ${self.zone}`, members);
   }
 
   #writers(): Map<string, readonly BurnRow[]> {
--- a/src/slo/burn_test.ts
+++ b/src/slo/burn_test.ts
@@ -10,7 +10,7 @@
 } from "../core/mod.ts";
 import { parseDocument, type SteeringDocument } from "../document/mod.ts";
 import { BatchSchema, SenderSchema } from "../gen/peer_pb.ts";
-import { dutyHolder } from "../membership/mod.ts";
+import { rendezvousOwner } from "../membership/mod.ts";
 import { MemoryPlatform } from "../store/mod.ts";
 import { FaultyPlatform } from "../store/testing/mod.ts";
 import {
@@ -187,11 +187,11 @@
       metrics: new MemoryMetrics(),
       log: new SilentLog(),
       self: { instance, zone: "gulf-a", incarnation: "1" },
-      mates: () =>
+      zonePeers: () =>
         names.filter((n) => n !== instance).map((n) => ({ instance: n })),
     })
   );
-  const holder = names.indexOf(dutyHolder("burn gulf-a", names) ?? "");
+  const holder = names.indexOf(rendezvousOwner("burn gulf-a", names) ?? "");
   const sendReport = (from: number, to: number) => {
     const sender = create(SenderSchema, {
       instance: names[from] ?? "",
@@ -200,7 +200,7 @@
     });
     const batch = create(BatchSchema, { sender });
     publishers[from]?.fill(batch, names[to] ?? "");
-    publishers[to]?.absorb(batch, sender);
+    publishers[to]?.receive(batch, sender);
     return batch;
   };
   const stored = async () => {
@@ -236,7 +236,7 @@
   platform.faults.loseAnswers = "applied";
   await publishers[holder]?.flush();
   platform.faults.loseAnswers = "none";
-  publishers[holder]?.absorb(batch, batch.sender ?? create(SenderSchema));
+  publishers[holder]?.receive(batch, batch.sender ?? create(SenderSchema));
   await publishers[holder]?.flush();
   await publishers[other]?.flush();
   t.is((await stored()).reduce((sum, r) => sum + r.good, 0), 1);
--- a/tools/operations/second_place_latency.ts
+++ b/tools/operations/second_place_latency.ts
@@ -147,7 +147,7 @@
       if (from === to) continue;
       const batch = create(BatchSchema, { sender: from.sender });
       from.operations.fill(batch, to.sender.instance);
-      to.operations.absorb(batch, from.sender);
+      to.operations.receive(batch, from.sender);
     }
   }
 }
--- a/tools/soak/soak_world.ts
+++ b/tools/soak/soak_world.ts
@@ -23,9 +23,9 @@
 } from "../../src/instance/mod.ts";
 import { FaultyPlatform } from "../../src/membership/testing/faulty_platform.ts";
 import {
+  DEFAULT_SEAT_TIMING,
   LeasedSeats,
   type LeasedSeatsDeps,
-  SEAT_TIMING,
 } from "../../src/membership/mod.ts";
 import { MemoryPlatform } from "../../src/store/mod.ts";
 import { parseSettings } from "../../src/settings/mod.ts";
@@ -180,7 +180,7 @@
 /** An hour's hold would leave a zone whose instances all died dark to the end. */
 class ShortHoldSeats extends LeasedSeats {
   constructor(deps: LeasedSeatsDeps) {
-    super({ ...deps, timing: { ...SEAT_TIMING, holdMs: HOLD_MS } });
+    super({ ...deps, timing: { ...DEFAULT_SEAT_TIMING, holdMs: HOLD_MS } });
   }
 }
 
