--- a/src/membership/leased_seats.ts
+++ b/src/membership/leased_seats.ts
@@ -145,7 +145,7 @@
     if (this.#shouldWrite(plan, now)) void this.#write(plan);
   }
 
-  /** From now on, takes no seats and hands its own over to zone peers. */
+  /** From now on, takes no seats; vacant and released ones go to zone peers. */
   leave(): void {
     this.#leaving = true;
   }
@@ -300,7 +300,7 @@
     });
   }
 
-  /** The holder of most seats releases one for a peer with two fewer. */
+  /** The holder of most seats releases one if a peer has 2 or more fewer. */
   #rebalance(now: number): void {
     const { rows } = this.#stored.table;
     const zonePeers = this.#zonePeers.live(now).filter((m) => !m.leaving);
--- a/src/membership/rendezvous_owner.ts
+++ b/src/membership/rendezvous_owner.ts
@@ -13,7 +13,7 @@
  *
  * @example
  * ```ts
- * dutyHolder("watch", ["i1", "i2"]); // the same at every instance
+ * rendezvousOwner("watch", ["i1", "i2"]); // the same at every instance
  * ```
  */
 export function rendezvousOwner(
--- a/src/slo/burn_publisher.ts
+++ b/src/slo/burn_publisher.ts
@@ -118,8 +118,8 @@
   }
 
   #writerInstance(): string | undefined {
-    const { self, zonePeers: mates } = this.#deps;
-    const members = [self.instance, ...mates().map((m) => m.instance)];
+    const { self, zonePeers } = this.#deps;
+    const members = [self.instance, ...zonePeers().map((m) => m.instance)];
     return rendezvousOwner(`burn ${self.zone}`, members);
   }
 
