--- a/src/instance/caller_options.ts
+++ b/src/instance/caller_listener_options.ts
@@ -1,5 +1,5 @@
 /**
- * The caller side's limits and certificate, as the settings give them.
+ * Limits and TLS of the caller listener, taken from the settings.
  *
  * @module
  */
@@ -7,8 +7,7 @@
 import type { Settings } from "../settings/mod.ts";
 import type { ListenerOptions } from "./listener.ts";
 
-/** Turns settings into a listener's options. */
-export function callerOptions(
+export function callerListenerOptions(
   { cfg, clock, log }: { cfg: Settings; clock: Clock; log: Log },
 ): ListenerOptions {
   const { limits, tls } = cfg.caller;
@@ -27,7 +26,7 @@
         files: {
           certFile: tls.cert_file,
           keyFile: tls.key_file,
-          reloadMs: tls.reload_ms,
+          reloadIntervalMs: tls.reload_ms,
         },
         clock,
         log: log.child("tls"),
--- a/src/instance/client_sites_test.ts
+++ b/src/instance/client_sites_test.ts
@@ -17,17 +17,17 @@
   return { sites: Object.fromEntries(entries) };
 }
 
-test("a client is sent to its site's zones, the best one first", (t) => {
+test("a client address maps to the zones of its site, best first", (t) => {
   const held = new ClientSites();
   const riga = sites({ riga: ["203.0.113.0/24"] }, ["north-b", "north-a"]);
   held.adopt(documentOf({ "sites/baltic": riga })._unsafeUnwrap());
-  held.settle();
+  held.rebuildAll();
   t.deepEqual(held.zonesFor("203.0.113.9"), ["north-b", "north-a"]);
   t.deepEqual(held.zonesFor("198.51.100.1"), []);
   t.deepEqual(held.zonesFor("not an address"), []);
 });
 
-test("a changed section takes effect over ticks and a removed one goes", (t) => {
+test("added and removed sections take effect over ticks", (t) => {
   const held = new ClientSites();
   const first = { "sites/a": sites({ riga: ["203.0.113.0/24"] }) };
   held.adopt(documentOf(first)._unsafeUnwrap());
@@ -40,17 +40,17 @@
 
 const REFUSED: [string, RawSections, string][] = [
   [
-    "a zone that no section has",
+    "a zone that no section defines",
     { sites: sites({ riga: [] }, ["south-a"]) },
     "sites.riga.zones.0",
   ],
   [
-    "a block with bits below its length",
+    "a block with bits set beyond its prefix length",
     { sites: sites({ riga: ["203.0.113.7/24"] }) },
     "sites.sites.riga.blocks.0",
   ],
   [
-    "a site that two sections name",
+    "a site defined by two sections",
     { "sites/a": sites({ riga: [] }), "sites/b": sites({ riga: [] }) },
     "sites/b.sites.riga",
   ],
--- a/src/instance/document_follower.ts
+++ b/src/instance/document_follower.ts
@@ -1,10 +1,10 @@
 /**
- * Keeps the accepted document in force.
+ * Follows the accepted document and puts new generations in force.
  *
- * One instance of a zone watches the store's manifest; the others poll it
- * slowly and otherwise hear of a new generation from their peers, from which
- * they also fetch it, so that a change costs the store a few reads a zone and
- * not some an instance. Only a higher generation is ever adopted.
+ * One instance per zone watches the store's manifest. The others poll it
+ * slowly, and learn of and fetch new generations from peers, so that a change
+ * costs the store a few reads per zone instead of some per instance. Only a
+ * higher generation is ever adopted.
  *
  * @module
  */
@@ -33,37 +33,37 @@
 import type { DocumentHandler, PeerSubsystem } from "../peers/mod.ts";
 import type { DocumentSource, FoundManifest } from "./document_source.ts";
 
-/** What a follower needs. */
+/** Dependencies of {@link DocumentFollower}. */
 export interface DocumentFollowerDeps {
   readonly source: DocumentSource;
   readonly contents: ContentStore;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Log;
-  /** Whether it is this instance that watches the store for its zone. */
+  /** Whether this instance watches the store on behalf of its zone. */
   readonly watches: () => boolean;
   readonly onDocument: (accepted: AcceptedDocument) => void;
 }
 
-const WATCH_MS = 5_000;
-const RETRY_MS = 250;
-/** How often the duty is looked at by those that do not have it. */
-const DUTY_CHECK_MS = 500;
-/** A poll behind watches and peers, so that no lost message is lost for good. */
-const POLL_MS = 20_000;
+const WATCH_TIMEOUT_MS = 5_000;
+const RETRY_DELAY_MS = 250;
+/** How often other instances check whether the watch has passed to them. */
+const WATCH_DUTY_CHECK_MS = 500;
+/** Fallback to watches and peers, so that a lost message only delays a change. */
+const POLL_INTERVAL_MS = 20_000;
 const POLL_JITTER_MS = 10_000;
 
-/** Follows the manifest; a generation not above the one in force is left out. */
+/** Follows the manifest and ignores generations not above the one in force. */
 export class DocumentFollower implements PeerSubsystem, DocumentHandler {
   readonly #deps: DocumentFollowerDeps;
-  readonly #fetching = new Map<string, Promise<void>>();
-  #text = "";
+  readonly #pendingFetches = new Map<string, Promise<void>>();
+  #manifestText = "";
   #generation = -1;
   #digests: ReadonlyMap<string, string> = new Map();
   #rejected: readonly Failure[] = [];
   #rejectedGeneration = -1;
-  #seen: string | undefined;
-  #pollAt = 0;
+  #seenVersion: string | undefined;
+  #nextPollAt = 0;
   readonly #sections = new SectionCache();
   #closed = false;
 
@@ -76,16 +76,16 @@
     return this.#generation;
   }
 
-  /** What of the newest known document is not in force, and why. */
+  /** Why parts of the newest known document are not in force. */
   get rejected(): readonly Failure[] {
     return this.#rejected;
   }
 
-  /** Starts following; comes back after the first try. */
+  /** Starts following; resolves after the first attempt. */
   async start(): Promise<void> {
     const found = await this.#deps.source.poll();
     if (found.isOk() && found.value) await this.#adopt(found.value);
-    this.#planPoll();
+    this.#schedulePoll();
     void this.#follow();
   }
 
@@ -98,21 +98,23 @@
   }
 
   receive(batch: Batch, from: Sender): void {
-    const told = Number(batch.generation);
-    if (told <= this.#generation || told <= this.#rejectedGeneration) return;
+    const announced = Number(batch.generation);
+    if (
+      announced <= this.#generation || announced <= this.#rejectedGeneration
+    ) return;
     const { peerUrl } = from;
-    if (peerUrl === "" || this.#fetching.has(peerUrl)) return;
-    this.#fetching.set(peerUrl, this.#fetch(peerUrl));
+    if (peerUrl === "" || this.#pendingFetches.has(peerUrl)) return;
+    this.#pendingFetches.set(peerUrl, this.#fetchFromPeer(peerUrl));
   }
 
-  /** Comes back when every fetch from peers that is under way has ended. */
+  /** Resolves when all pending fetches from peers have ended. */
   async settled(): Promise<void> {
-    await Promise.all(this.#fetching.values());
+    await Promise.all(this.#pendingFetches.values());
   }
 
   fetchManifest(): FetchManifestResponse {
     return create(FetchManifestResponseSchema, {
-      manifest: this.#text,
+      manifest: this.#manifestText,
       inForce: Object.fromEntries(this.#digests),
     });
   }
@@ -125,53 +127,57 @@
     });
   }
 
-  async #fetch(peerUrl: string): Promise<void> {
+  async #fetchFromPeer(peerUrl: string): Promise<void> {
     const found = await this.#deps.source.fromPeer(peerUrl);
     if (found.isOk() && found.value) await this.#adopt(found.value);
-    this.#fetching.delete(peerUrl);
+    this.#pendingFetches.delete(peerUrl);
   }
 
   async #follow(): Promise<void> {
     while (!this.#closed) {
       if (this.#deps.watches()) await this.#watch();
-      else if (this.#deps.clock.now() >= this.#pollAt) await this.#poll();
-      else await sleep(this.#deps.clock, DUTY_CHECK_MS);
+      else if (this.#deps.clock.now() >= this.#nextPollAt) await this.#poll();
+      else await sleep(this.#deps.clock, WATCH_DUTY_CHECK_MS);
     }
   }
 
   async #watch(): Promise<void> {
-    const found = await this.#deps.source.watch(this.#seen, WATCH_MS);
+    const found = await this.#deps.source.watch(
+      this.#seenVersion,
+      WATCH_TIMEOUT_MS,
+    );
     if (this.#closed) return;
-    if (found.isErr()) return await this.#pause(found.error);
+    if (found.isErr()) return await this.#logAndBackOff(found.error);
     const { value } = found;
-    if (value === undefined || value.version === this.#seen) {
-      // A watch that repeats itself ends at once each time. Without a pause
-      // every instance would ask again and again and use up the store's rate.
-      return await sleep(this.#deps.clock, RETRY_MS);
+    if (value === undefined || value.version === this.#seenVersion) {
+      // The store may end each watch at once with the same version. Retrying
+      // without a delay would use up the store's rate.
+      return await sleep(this.#deps.clock, RETRY_DELAY_MS);
     }
-    if (await this.#adopt(value)) this.#seen = value.version;
-    else await sleep(this.#deps.clock, RETRY_MS);
+    if (await this.#adopt(value)) this.#seenVersion = value.version;
+    else await sleep(this.#deps.clock, RETRY_DELAY_MS);
   }
 
   async #poll(): Promise<void> {
-    this.#planPoll();
+    this.#schedulePoll();
     const found = await this.#deps.source.poll();
-    if (found.isErr()) return await this.#pause(found.error);
+    if (found.isErr()) return await this.#logAndBackOff(found.error);
     if (found.value) await this.#adopt(found.value);
   }
 
-  #planPoll(): void {
+  #schedulePoll(): void {
     const { clock, random } = this.#deps;
-    this.#pollAt = clock.now() + POLL_MS + random.below(POLL_JITTER_MS);
+    this.#nextPollAt = clock.now() + POLL_INTERVAL_MS +
+      random.below(POLL_JITTER_MS);
   }
 
-  /** Whether the manifest needs no further look: it is in force, older, or unusable. */
+  /** Returns whether the manifest is done with: in force, older, or unusable. */
   async #adopt(found: FoundManifest): Promise<boolean> {
     const { generation } = found.manifest;
     if (this.isKnown(generation)) return true;
-    const contents = await this.#load(found);
+    const contents = await this.#loadContents(found);
     if (contents === undefined) return false;
-    const before = await this.#before(found);
+    const before = await this.#previousContents(found);
     if (this.isKnown(generation)) return true;
     const assembled = assembleDocument(found.manifest, contents, {
       previous: before,
@@ -183,7 +189,7 @@
       this.#deps.log.event("document_rejected", { generation });
       return true;
     }
-    this.#text = found.text;
+    this.#manifestText = found.text;
     this.#generation = generation;
     this.#digests = assembled.value.digests;
     this.#rejected = assembled.value.rejected;
@@ -195,14 +201,14 @@
     return true;
   }
 
-  /** Whether a generation is in force here, or older, or unusable. */
+  /** Whether a generation is not above the one in force or the last rejected one. */
   protected isKnown(generation: number): boolean {
     return generation <= this.#generation ||
       generation <= this.#rejectedGeneration;
   }
 
-  /** Every section's content; a section whose content is no JSON is left out. */
-  async #load(
+  /** Content of every section, without those that are not valid JSON; undefined on failure. */
+  async #loadContents(
     found: FoundManifest,
   ): Promise<Map<string, SectionContent> | undefined> {
     const contents = new Map<string, SectionContent>();
@@ -219,21 +225,23 @@
     return contents;
   }
 
-  /** What is in force here, or, at a fresh instance, at the peer. */
-  async #before(found: FoundManifest): Promise<Map<string, SectionContent>> {
+  /** Sections in force here, or at the peer if this instance has no document yet. */
+  async #previousContents(
+    found: FoundManifest,
+  ): Promise<Map<string, SectionContent>> {
     const digests = this.#generation >= 0
       ? this.#digests
       : new Map(Object.entries(found.inForce));
-    const before = new Map<string, SectionContent>();
+    const contents = new Map<string, SectionContent>();
     for (const [name, digest] of digests) {
       const content = await this.#deps.source.content(digest, found.peerUrl);
-      if (content.isOk()) before.set(name, content.value);
+      if (content.isOk()) contents.set(name, content.value);
     }
-    return before;
+    return contents;
   }
 
-  async #pause(failure: Failure): Promise<void> {
+  async #logAndBackOff(failure: Failure): Promise<void> {
     this.#deps.log.event("document_watch_failed", { code: failure.code });
-    await sleep(this.#deps.clock, RETRY_MS);
+    await sleep(this.#deps.clock, RETRY_DELAY_MS);
   }
 }
--- a/src/instance/document_follower_test.ts
+++ b/src/instance/document_follower_test.ts
@@ -25,10 +25,10 @@
 
 async function setup() {
   const clock = new ManualClock();
-  const truth = new MemoryPlatform(clock);
-  const platform = new FaultyPlatform(truth, clock);
+  const store = new MemoryPlatform(clock);
+  const platform = new FaultyPlatform(store, clock);
   const random = new SeededRandom(1);
-  const editor = new DocumentStore({ platform: truth, clock, random });
+  const editor = new DocumentStore({ platform: store, clock, random });
   const generations: number[] = [];
   const contents = new ContentStore(platform);
   const contact = new PlatformContact(clock);
@@ -54,9 +54,9 @@
   return { clock, platform, follower, generations, change };
 }
 
-test("a watch that repeats itself does not use up the store's rate", async (t) => {
-  // The store ends each watch at once although nothing has changed. Without a
-  // pause, each instance would ask thousands of times a second.
+test("watches that end at once do not use up the store's rate", async (t) => {
+  // The store ends each watch at once without a change. Without a delay, each
+  // instance would send thousands of watches per second.
   const { clock, platform, follower } = await setup();
   platform.faults.watches = "repeated";
   clock.advance(10_000);
@@ -70,9 +70,9 @@
   follower.close();
 });
 
-test("a stale manifest does not take back what is in force", async (t) => {
-  // A read from a copy that is behind shows the generation before. An instance
-  // that adopted it would bring withdrawn keys back to life.
+test("a stale manifest does not replace the one in force", async (t) => {
+  // A read from a lagging replica returns the previous generation. Adopting it
+  // would make withdrawn keys valid again.
   const { clock, platform, follower, generations, change } = await setup();
   await change();
   await settle();
@@ -86,9 +86,9 @@
   follower.close();
 });
 
-test("a change that no watch tells of comes in force when the wait is over", async (t) => {
-  // The watch stays open and silent. Operators would see their edit accepted
-  // and nothing happen.
+test("a change that the watch does not report takes effect after the watch times out", async (t) => {
+  // The watch stays open and never responds. Operators would see their edit
+  // accepted without taking effect.
   const { clock, platform, follower, generations, change } = await setup();
   platform.faults.watches = "silent";
   clock.advance(10_000);
--- a/src/instance/document_in_force_test.ts
+++ b/src/instance/document_in_force_test.ts
@@ -34,8 +34,8 @@
   for (let i = 0; i < SETTLE_TURNS; i++) await Promise.resolve();
 }
 
-/** A follower whose only peer is `peer`. */
-function followerOf(
+/** Creates a follower whose only peer is `peer`. */
+function createFollower(
   platform: Platform,
   { clock, peer }: { clock: ManualClock; peer?: () => DocumentFollower },
 ) {
@@ -75,9 +75,9 @@
 
 function setup() {
   const clock = new ManualClock();
-  const truth = new MemoryPlatform(clock);
+  const store = new MemoryPlatform(clock);
   const editor = new DocumentStore({
-    platform: truth,
+    platform: store,
     clock,
     random: new SeededRandom(2),
   });
@@ -85,10 +85,10 @@
     const sections = new Map([[name as SectionName, value]]);
     (await editor.apply({ author: "t", sections }))._unsafeUnwrap();
   };
-  return { clock, truth, change };
+  return { clock, store, change };
 }
 
-/** Writes a manifest as a newer program would, past this one's checks. */
+/** Writes a manifest as a newer version would, bypassing this version's checks. */
 async function writeRaw(
   platform: MemoryPlatform,
   generation: number,
@@ -114,26 +114,29 @@
   );
 }
 
-function tell(follower: DocumentFollower, generation: number): void {
+function reportGeneration(
+  follower: DocumentFollower,
+  generation: number,
+): void {
   const batch = create(BatchSchema, { generation: BigInt(generation) });
   follower.receive(batch, PEER);
 }
 
-test("an instance without the store takes a newer document from a peer", async (t) => {
-  // The store goes down for one zone only. A key withdrawn meanwhile must stop
-  // working there too, so the zone's instances ask a peer elsewhere.
-  const { clock, truth, change } = setup();
+test("an instance that cannot reach the store adopts a newer document from a peer", async (t) => {
+  // The store is down for one zone only. A key withdrawn meanwhile must stop
+  // working there too, so the zone's instances fetch from a peer in another zone.
+  const { clock, store, change } = setup();
   await change("accounts", { accounts: { a1: {} } });
-  const peer = followerOf(truth, { clock });
+  const peer = createFollower(store, { clock });
   await peer.follower.start();
-  const faulty = new FaultyPlatform(truth, clock);
-  const here = followerOf(faulty, { clock, peer: () => peer.follower });
+  const faulty = new FaultyPlatform(store, clock);
+  const here = createFollower(faulty, { clock, peer: () => peer.follower });
   await here.follower.start();
   faulty.faults.down = true;
   await change("accounts", { accounts: { a2: {} } });
   await settle();
   t.is(peer.follower.generation, 2);
-  tell(here.follower, 2);
+  reportGeneration(here.follower, 2);
   await settle();
   t.deepEqual(here.accepted.map((d) => d.manifest.generation), [1, 2]);
   t.deepEqual(Object.keys(here.accepted[1]!.document.accounts), ["a2"]);
@@ -141,12 +144,12 @@
   here.follower.close();
 });
 
-test("a content that is not what its digest names is not taken", async (t) => {
-  // A peer's answer is cut short or mixed up. Adopted, it would put a document
+test("content that does not match its digest is rejected", async (t) => {
+  // A peer's response is truncated or mixed up. Adopting it would put a document
   // in force that no operator wrote.
-  const { clock, truth, change } = setup();
+  const { clock, store, change } = setup();
   await change("accounts", { accounts: { a1: {} } });
-  const peer = followerOf(truth, { clock });
+  const peer = createFollower(store, { clock });
   await peer.follower.start();
   const wrong = Object.create(peer.follower) as DocumentFollower;
   wrong.fetchManifest = () => peer.follower.fetchManifest();
@@ -155,26 +158,26 @@
     found: true,
     content: canonicalJson({ accounts: { intruder: {} } }),
   });
-  const faulty = new FaultyPlatform(truth, clock);
+  const faulty = new FaultyPlatform(store, clock);
   faulty.faults.down = true;
-  const here = followerOf(faulty, { clock, peer: () => wrong });
+  const here = createFollower(faulty, { clock, peer: () => wrong });
   await here.follower.start();
-  tell(here.follower, 1);
+  reportGeneration(here.follower, 1);
   await settle();
   t.deepEqual(here.accepted, []);
   peer.follower.close();
   here.follower.close();
 });
 
-test("a section that cannot be used keeps its last good content and holds nothing back", async (t) => {
-  // One team publishes with a newer program; another withdraws a key in the
-  // same minute. The key must stop working, the drains stay as they were.
-  const { clock, truth, change } = setup();
+test("an invalid section keeps its last valid content and does not block the others", async (t) => {
+  // One team publishes a section with a newer version while another withdraws a
+  // key. The key must stop working, and the drains must not change.
+  const { clock, store, change } = setup();
   await change("accounts", { accounts: { a1: {}, a2: {} } });
   await change("drains", { drains: [{ kind: "instance", id: "i1" }] });
-  const { follower, accepted } = followerOf(truth, { clock });
+  const { follower, accepted } = createFollower(store, { clock });
   await follower.start();
-  await writeRaw(truth, 3, {
+  await writeRaw(store, 3, {
     accounts: { accounts: { a2: {} } },
     drains: { drains: [{ kind: "planet", id: "earth" }] },
     novelties: { any: 1 },
@@ -188,20 +191,20 @@
   follower.close();
 });
 
-test("a document that does not fit together never takes effect and blocks nothing", async (t) => {
-  // A rate names an account that no section has. The last good document stays
-  // in force, status says why, and the next good one is adopted.
-  const { clock, truth, change } = setup();
+test("an inconsistent document never takes effect and does not block later ones", async (t) => {
+  // A rate names an account that no section defines. The last valid document
+  // stays in force, the status reports why, and the next valid one is adopted.
+  const { clock, store, change } = setup();
   await change("accounts", { accounts: { a1: {} } });
-  const { follower, accepted } = followerOf(truth, { clock });
+  const { follower, accepted } = createFollower(store, { clock });
   await follower.start();
-  await writeRaw(truth, 2, {
+  await writeRaw(store, 2, {
     rates: { rates: { nobody: { rate_per_s: 1, burst: 1 } } },
   });
   await settle();
   t.is(follower.generation, 1);
   t.is(follower.rejected[0]?.code, "bad_document");
-  await writeRaw(truth, 3, { accounts: { accounts: { a3: {} } } });
+  await writeRaw(store, 3, { accounts: { accounts: { a3: {} } } });
   await settle();
   t.is(follower.generation, 3);
   t.deepEqual(follower.rejected, []);
@@ -211,7 +214,7 @@
 
 const KEY = "k-1";
 
-function ringFor(graceS: number, contact: PlatformContact): KeyRing {
+function createKeyRing(graceS: number, contact: PlatformContact): KeyRing {
   const ring = new KeyRing(() => contact.ageMs());
   const keys = [{ id: "k1", sha256: sha256(KEY), withdrawn: false }];
   const accounts = { a1: { keys, weight: 1, cut_off_grace_s: graceS } };
@@ -219,46 +222,46 @@
   return ring;
 }
 
-const CUT_OFF: { graceS: number; awayS: number; code?: FailureCode }[] = [
+const CUT_OFF_CASES: { graceS: number; awayS: number; code?: FailureCode }[] = [
   { graceS: 60, awayS: 59 },
   { graceS: 60, awayS: 61, code: "cut_off" },
   { graceS: 0, awayS: 5 },
   { graceS: 0, awayS: 16, code: "cut_off" },
 ];
 
-for (const { graceS, awayS, code } of CUT_OFF) {
+for (const { graceS, awayS, code } of CUT_OFF_CASES) {
   test(`grace ${graceS} s, cut off for ${awayS} s: ${code ?? "served"}`, (t) => {
-    // A cut-off zone cannot learn that a key was withdrawn, so it takes the
-    // key only as long as the account's grace lasts.
+    // A partitioned zone cannot learn that a key was withdrawn, so it accepts
+    // the key only during the account's grace period.
     const clock = new ManualClock();
     const contact = new PlatformContact(clock);
-    contact.note(clock.now());
+    contact.record(clock.now());
     clock.advance(awayS * 1_000);
-    const found = ringFor(graceS, contact).accountOf(`Bearer ${KEY}`);
+    const found = createKeyRing(graceS, contact).accountOf(`Bearer ${KEY}`);
     t.is(found.isErr() ? found.error.code : undefined, code);
     if (found.isErr()) t.is(found.error.outcome, "not-run");
   });
 }
 
-test("contact through peers grows old, and late or fresh peers make it no younger", (t) => {
-  // A and B are cut off together and tell each other how old their contact is;
-  // a new instance C joins them. None of this is contact with the platform.
+test("the contact age grows without the platform, whatever delayed or new peers report", (t) => {
+  // A and B are partitioned together and exchange their contact ages; a new
+  // instance C joins them. None of this is contact with the platform.
   const clock = new ManualClock();
   const [a, b, c] = [0, 1, 2].map(() => new PlatformContact(clock));
-  a!.note(clock.now());
-  const told = (from: PlatformContact) => {
+  a!.record(clock.now());
+  const batchFrom = (from: PlatformContact) => {
     const batch = create(BatchSchema);
     from.fill(batch);
     return batch;
   };
-  const late = told(a!);
+  const delayed = batchFrom(a!);
   for (let i = 0; i < 60; i++) {
     clock.advance(1_000);
-    b!.receive(told(a!), PEER, clock.now());
-    a!.receive(told(c!), PEER, clock.now());
-    a!.receive(told(b!), PEER, clock.now());
+    b!.receive(batchFrom(a!), PEER, clock.now());
+    a!.receive(batchFrom(c!), PEER, clock.now());
+    a!.receive(batchFrom(b!), PEER, clock.now());
   }
-  a!.receive(late, PEER);
+  a!.receive(delayed, PEER);
   t.is(a!.ageMs(), 60_000);
   t.is(b!.ageMs(), 60_000);
   t.is(c!.ageMs(), Infinity);
--- a/src/instance/document_source.ts
+++ b/src/instance/document_source.ts
@@ -1,6 +1,6 @@
 /**
- * Where the follower gets manifests and contents: the store, or a peer that
- * has a later generation in force.
+ * Reads manifests and section contents from the store, or from a peer that has
+ * a later generation in force.
  *
  * @module
  */
@@ -17,18 +17,18 @@
 import type { Platform, Versioned } from "../store/mod.ts";
 import type { PlatformContact } from "./platform_contact.ts";
 
-/** A manifest as it was found. */
+/** A manifest and its origin. */
 export interface FoundManifest {
   readonly text: string;
   readonly manifest: LenientManifest;
-  /** The store's version; none if a peer gave it. */
+  /** Version in the store; undefined if it came from a peer. */
   readonly version: string | undefined;
-  /** What the peer has in force of each section, by digest. */
+  /** Digests of the sections in force at the peer, by section name. */
   readonly inForce: Readonly<Record<string, string>>;
   readonly peerUrl: string | undefined;
 }
 
-/** What a source needs. */
+/** Dependencies of {@link DocumentSource}. */
 export interface DocumentSourceDeps {
   readonly platform: Platform;
   readonly contents: ContentStore;
@@ -37,8 +37,8 @@
   readonly clock: Clock;
 }
 
-/** A watch that says nothing is given up this long after it was due. */
-const WATCH_OVERDUE_MS = 3_000;
+/** How long past its requested wait a watch may take before it fails. */
+const WATCH_GRACE_MS = 3_000;
 
 /** Reads from the store and from peers. */
 export class DocumentSource {
@@ -48,13 +48,13 @@
     this.#deps = deps;
   }
 
-  /** Reads the store's manifest; undefined if it has none. */
+  /** Reads the store's manifest; undefined if there is none. */
   async poll(): Promise<Result<FoundManifest | undefined, Failure>> {
     const { platform, contact, clock } = this.#deps;
     const from = clock.now();
     const read = await platform.get(MANIFEST_KEY);
-    if (read.isOk()) contact.note(from);
-    return read.andThen(found);
+    if (read.isOk()) contact.record(from);
+    return read.andThen(toFoundManifest);
   }
 
   /** Waits for the store's manifest to change from version `seen`. */
@@ -65,19 +65,22 @@
     const { platform, contact, clock } = this.#deps;
     const from = clock.now();
     const waiting = platform.watch(MANIFEST_KEY, seen, waitMs);
-    const read = await this.#inTime(waiting, waitMs + WATCH_OVERDUE_MS);
-    // After a pause the answer may be old, but not older than the wait's end.
-    if (read.isOk()) contact.note(Math.min(clock.now(), from + waitMs));
-    return read.andThen(found);
+    const read = await this.#withTimeout(waiting, waitMs + WATCH_GRACE_MS);
+    // After a process pause the response may be old, but not older than the end
+    // of the wait.
+    if (read.isOk()) contact.record(Math.min(clock.now(), from + waitMs));
+    return read.andThen(toFoundManifest);
   }
 
-  #inTime<T>(
+  #withTimeout<T>(
     call: Promise<Result<T, Failure>>,
     ms: number,
   ): Promise<Result<T, Failure>> {
     return new Promise((resolve) => {
       const timer = this.#deps.clock.after(ms, () => {
-        resolve(fail("platform_unavailable", "a watch was silent"));
+        resolve(
+          fail("platform_unavailable", "watch timed out without a response"),
+        );
       });
       void call.then((result) => {
         timer.close();
@@ -86,7 +89,7 @@
     });
   }
 
-  /** Asks a peer for the manifest it has in force. */
+  /** Fetches the manifest in force at a peer. */
   async fromPeer(
     peerUrl: string,
   ): Promise<Result<FoundManifest | undefined, Failure>> {
@@ -103,7 +106,7 @@
     });
   }
 
-  /** A section's content, from what is known, the peer, or the store. */
+  /** Content of a section, from the cache, the peer or the store. */
   async content(
     digest: string,
     peerUrl: string | undefined,
@@ -111,7 +114,7 @@
     const { contents, transport } = this.#deps;
     if (peerUrl !== undefined && contents.cachedText(digest) === undefined) {
       const answer = await transport.fetchContent(peerUrl, digest);
-      // A content is named by its digest, so a wrong one is simply not found.
+      // Content is addressed by its digest, so wrong content is never looked up.
       if (answer.isOk() && answer.value.found) {
         contents.cacheText(answer.value.content);
       }
@@ -121,7 +124,7 @@
   }
 }
 
-function found(
+function toFoundManifest(
   read: Versioned<string> | undefined,
 ): Result<FoundManifest | undefined, Failure> {
   if (read === undefined) return ok(undefined);
--- a/src/instance/entry_lookup.ts
+++ b/src/instance/entry_lookup.ts
@@ -1,5 +1,5 @@
 /**
- * Which instances a caller is told of that asks where to connect.
+ * Answers caller look-ups with the instances to connect to.
  *
  * @module
  */
@@ -11,12 +11,12 @@
 import type { ClientSites } from "./client_sites.ts";
 import type { Steering } from "./steering.ts";
 
-/** What look-ups are answered from. */
+/** Dependencies of {@link EntryLookup}. */
 export interface EntryLookupOptions {
   readonly clock: Clock;
-  /** How often the choice is prepared, in milliseconds. */
-  readonly everyMs: number;
-  /** This instance, as callers reach it. */
+  /** How often the candidate instances are recomputed, in milliseconds. */
+  readonly refreshIntervalMs: number;
+  /** This instance under its caller URL. */
   readonly own: () => EntryChoice;
   readonly leaving: () => boolean;
   readonly sites: ClientSites;
@@ -26,24 +26,23 @@
   readonly operations: HomeOperations;
 }
 
-/** Answers look-ups at one instance. */
 export class EntryLookup {
   readonly #opts: EntryLookupOptions;
-  #preparedAt = -Infinity;
+  #refreshedAt = -Infinity;
 
   constructor(opts: EntryLookupOptions) {
     this.#opts = opts;
   }
 
-  /** Near the caller's address if a site has it, else near this instance. */
+  /** Chooses near the caller's site if its address has one, else near this instance. */
   answer(client: string): LookupAnswer {
     const { steering, sites, operations, own } = this.#opts;
     const { entries } = steering;
-    this.#prepare();
-    const near = sites.zonesFor(client)
+    this.#refreshCandidates();
+    const location = sites.zonesFor(client)
       .map((zone) => entries.locationOf(zone))
-      .find((place) => place !== undefined);
-    const instances = entries.choose(near ?? own()).map(
+      .find((found) => found !== undefined);
+    const instances = entries.choose(location ?? own()).map(
       ({ instance, url, zone, region }) => {
         const home = operations.homeTokenOf(instance);
         return { instance, url, zone, region, ...(home ? { home } : {}) };
@@ -52,21 +51,28 @@
     return { reuse_ms: entries.reuseMs(), instances };
   }
 
-  /** Once a tick: an answer is then drawn without going over all instances. */
-  #prepare(): void {
-    const { clock, everyMs, roster, leaving, own, steering } = this.#opts;
+  /** Runs once per interval, so that an answer need not scan all instances. */
+  #refreshCandidates(): void {
+    const {
+      clock,
+      refreshIntervalMs,
+      roster,
+      leaving,
+      own,
+      steering,
+    } = this.#opts;
     const now = clock.now();
-    if (now - this.#preparedAt < everyMs) return;
-    this.#preparedAt = now;
+    if (now - this.#refreshedAt < refreshIntervalMs) return;
+    this.#refreshedAt = now;
     const others: EntryChoice[] = roster.live()
       .map((m) => ({ ...m, url: m.callerUrl }));
-    const all = leaving() ? others : [...others, own()];
-    const open = steering.openEntries(this.#seated(all));
-    steering.entries.prepare(open);
+    const candidates = leaving() ? others : [...others, own()];
+    const eligible = steering.eligibleEntries(this.#withSeat(candidates));
+    steering.entries.prepare(eligible);
   }
 
-  /** An instance that waits for its first seat would refuse those sent to it. */
-  #seated(entries: EntryChoice[]): EntryChoice[] {
+  /** Entries that hold a seat, or all if none does: without one an instance refuses requests. */
+  #withSeat(entries: EntryChoice[]): EntryChoice[] {
     const { seats } = this.#opts;
     const holders = new Set(seats.entries().map((s) => s.holder));
     const seated = entries.filter((e) => holders.has(e.instance));
--- a/src/instance/fleet_budgets.ts
+++ b/src/instance/fleet_budgets.ts
@@ -1,6 +1,6 @@
 /**
- * The budgets of one instance and how they meet the rest of it: batches, calls
- * between instances, the document and the ticks.
+ * Rate and slot budgets of one instance, connected to peer batches, borrow
+ * calls, the document and the tick loop.
  *
  * @module
  */
@@ -31,35 +31,35 @@
 import type { Batch, Sender } from "../gen/peer_pb.ts";
 import { maxInFlightMs, type SeatDirectory } from "../membership/mod.ts";
 import type { PeerSubsystem, PeerTransport } from "../peers/mod.ts";
-import type { System } from "./tick_loop.ts";
+import type { TickTask } from "./tick_loop.ts";
 
-/** Another instance and where its peer listener stands. */
+/** Another instance and the URL of its peer listener. */
 export interface ReachablePeer extends BudgetPeer {
   readonly peerUrl: string;
 }
 
-/** What an instance's budgets need. */
+/** Dependencies of {@link FleetBudgets}. */
 export interface FleetBudgetsDeps {
   readonly self: BudgetPeer & InstanceIncarnation;
   readonly clock: Clock;
   readonly seats: SeatDirectory;
   readonly transport: Pick<PeerTransport, "borrow">;
-  /** Instances heard of late. */
+  /** Instances that sent a batch recently. */
   readonly peers: () => readonly ReachablePeer[];
-  /** Requests in flight at an endpoint from here, at this very moment. */
+  /** Requests from this instance currently in flight at an endpoint. */
   readonly inFlight: (endpoint: EndpointId) => number;
   /**
-   * Where a share that cannot be accounted for is told. Without it that is an
-   * error, as models and tests want it.
+   * Receives an event for an account whose shares are overallocated. Without
+   * it that throws, as models and tests require.
    */
   readonly log?: Log;
 }
 
-/** How often it is looked whether what was lent has come back, in ms. */
-const LENT_CHECK_MS = 20;
+/** How often a hand-over checks for outstanding loans. */
+const LOAN_POLL_MS = 20;
 
 /** Rates and slots of one instance. */
-export class FleetBudgets implements PeerSubsystem, System, LenderClient {
+export class FleetBudgets implements PeerSubsystem, TickTask, LenderClient {
   readonly name = "budgets";
   readonly limiter: LeasedLimiter;
   readonly slotLimits: LeasedSlotLimits;
@@ -68,7 +68,7 @@
   readonly #rates: RateBudgets;
   readonly #slots: SlotBudgets;
   readonly #exchange: BudgetExchange;
-  #restMs = 0;
+  #seatVacancyMs = 0;
 
   constructor(deps: FleetBudgetsDeps) {
     const { clock, self, peers, inFlight, log } = deps;
@@ -79,12 +79,12 @@
       holdMs: () => this.#slots.holdMs(),
     });
     const shares = this.#shares;
-    const restMs = () => this.#restMs;
+    const seatVacancyMs = () => this.#seatVacancyMs;
     this.#rates = new RateBudgets({
       self,
       shares,
       peers,
-      seatVacancyMs: restMs,
+      seatVacancyMs,
       onShareGrown: (account) => this.limiter.serveWaiting(account),
       ...(log === undefined ? {} : {
         onOverallocated: (account, reason) =>
@@ -96,7 +96,7 @@
       shares,
       peers,
       inFlight,
-      seatVacancyMs: restMs,
+      seatVacancyMs,
     });
     this.#exchange = new BudgetExchange({ self, clock, shares });
     this.#exchange.register(this.#rates);
@@ -118,9 +118,9 @@
     this.slotLimits = new LeasedSlotLimits(this.#slots);
   }
 
-  /** Takes over a newly accepted document, before the dispatcher does. */
+  /** Adopts a newly accepted document; must run before the dispatcher adopts it. */
   adopt(document: SteeringDocument, generation: number): void {
-    this.#restMs = maxInFlightMs(document);
+    this.#seatVacancyMs = maxInFlightMs(document);
     this.#shares.adopt(document, generation, this.#deps.clock.now());
     this.limiter.adopt(document);
   }
@@ -139,7 +139,7 @@
     this.#exchange.absorb(batch, from);
   }
 
-  /** Answers another instance's question for part of a budget. */
+  /** Answers another instance's request to borrow budget. */
   answer(call: BorrowCall): BorrowAnswer {
     return this.#exchange.answer(call);
   }
@@ -159,37 +159,36 @@
     });
   }
 
-  /** Whether what falls to the seats held here is in use. */
+  /** Whether the slots of all seats held here are usable. */
   settled(now: number): boolean {
     return this.#slots.settled(now);
   }
 
-  /** What may be spent here of an account's rate, and its tokens at hand. */
+  /** Spendable part of an account's rate here, and the available tokens. */
   spendable(account: AccountId, now: number): Spendable {
     return this.#rates.spendable(account, now);
   }
 
   /**
-   * Lends nothing more and waits until what is lent has ended: whoever gets the
-   * seats uses their parts at once, beside those that still had them on loan,
-   * which shows as an account above its rate. Loans of rates last 0.9 s, those
-   * of slots as long as the requests in them.
+   * Stops lending and waits until all loans have ended. The next holder uses the
+   * seats' shares at once; with loans outstanding, an account would exceed its
+   * rate. Rate loans last 0.9 s, slot loans as long as the requests using them.
    */
   async handOver(): Promise<void> {
     const tables = [this.#rates, this.#slots];
     for (const table of tables) table.stopLending();
     const { clock } = this.#deps;
     while (tables.some((table) => table.hasLentLoans(clock.now()))) {
-      await sleep(clock, LENT_CHECK_MS);
+      await sleep(clock, LOAN_POLL_MS);
     }
   }
 
-  /** The longest that `handOver` takes, in milliseconds. */
-  handOverLimitMs(): number {
-    return this.#slots.holdMs() + LENT_CHECK_MS;
+  /** Upper bound on the duration of `handOver`, in milliseconds. */
+  maxHandOverMs(): number {
+    return this.#slots.holdMs() + LOAN_POLL_MS;
   }
 
-  /** Refuses whatever waits. */
+  /** Refuses all waiting requests. */
   close(): void {
     this.limiter.close();
   }
--- a/src/instance/forwarding_test.ts
+++ b/src/instance/forwarding_test.ts
@@ -122,7 +122,7 @@
       text: await res.body.text(),
     };
   };
-  /** Sends until an answer comes: instances need some ticks to meet. */
+  /** Retries until a request is served; instances need some ticks to discover each other. */
   const served = async (body?: string) => {
     for (;;) {
       const got = await send(body);
@@ -139,9 +139,9 @@
   return { endpoint, far, served, close };
 }
 
-test("a zone without endpoints is served by another region's", async (t) => {
-  // Every endpoint of a zone is gone. Its callers still reach their entry
-  // instance and should notice nothing but some milliseconds.
+test("callers of a zone without endpoints are served by another region", async (t) => {
+  // A zone has no endpoint left. Its callers still reach their entry instance and
+  // should see only some milliseconds of extra latency.
   const { endpoint, served, close } = await setup();
   const read = await served();
   t.is(read.text, "answer to GET /lots ");
@@ -158,15 +158,15 @@
   await close();
 });
 
-const STRANGERS = [
+const UNAUTHENTICATED_SENDERS = [
   { name: "nobody", from: "", incarnation: "" },
   { name: "a peer's name without its token", from: "near", incarnation: "0" },
 ];
 
-for (const { name, from, incarnation } of STRANGERS) {
-  test(`the peer side takes no request from ${name}`, async (t) => {
-    // Somebody who reaches the peer address names an account of choice. Taking
-    // that at its word would run requests without any key.
+for (const { name, from, incarnation } of UNAUTHENTICATED_SENDERS) {
+  test(`the peer listener refuses a forwarded request from ${name}`, async (t) => {
+    // A client that can reach the peer address sets an account of its choice.
+    // Trusting the header would run requests without any key.
     const { endpoint, far, served, close } = await setup();
     await served();
     const before = endpoint.seen.length;
--- a/src/instance/hostile_input_test.ts
+++ b/src/instance/hostile_input_test.ts
@@ -4,13 +4,13 @@
 import { request } from "undici";
 import { type Log, type LogFields, MemoryMetrics } from "../core/mod.ts";
 import { BatchSchema } from "../gen/peer_pb.ts";
-import { anyMessage } from "./testing/any_message.ts";
+import { arbitraryMessage } from "./testing/arbitrary_message.ts";
 import { ONLY_KEY, startOne } from "./testing/one_instance.ts";
 
 const RUNS = { seed: 20_261_202, numRuns: 150 };
 const EXCHANGE = "/magnoliahook.peer.v1.PeerService/Exchange";
 
-/** Keeps what a system threw in its tick. */
+/** Records the errors thrown by tick tasks. */
 class FailureLog implements Log {
   readonly failures: LogFields[] = [];
 
@@ -27,7 +27,7 @@
   return startOne({ log: new FailureLog(), metrics: new MemoryMetrics() });
 }
 
-test.serial("any body of a look-up is answered or refused as data", async (t) => {
+test.serial("any look-up body gets a response or a structured error", async (t) => {
   const one = await setup();
   t.teardown(() => one.close());
   const body = fc.oneof(
@@ -54,7 +54,7 @@
   t.is((await fetch(`${one.instance.callerUrl}/v1/lookup`)).status, 200);
 });
 
-test.serial("any header values of a request are answered or refused as data", async (t) => {
+test.serial("any request header values get a response or a structured error", async (t) => {
   const one = await setup();
   t.teardown(() => one.close());
   const value = fc.oneof(
@@ -95,15 +95,15 @@
   );
 });
 
-test.serial("any bytes and any batch of a peer leave the instance serving", async (t) => {
-  // A peer of a newer version, or something that is no peer, speaks to the peer
-  // listener. What it says may be refused; the instance goes on as it was.
+test.serial("any bytes and any batch from a peer leave the instance serving", async (t) => {
+  // A peer of a newer version, or another program, connects to the peer listener.
+  // Its messages may be refused, but the instance must keep serving.
   const log = new FailureLog();
   const one = await startOne({ log, metrics: new MemoryMetrics() });
   t.teardown(() => one.close());
   const body = fc.oneof(
     fc.uint8Array({ maxLength: 300 }),
-    anyMessage(BatchSchema).map((batch) =>
+    arbitraryMessage(BatchSchema).map((batch) =>
       toBinary(BatchSchema, batch as never)
     ),
   );
--- a/src/instance/instance.ts
+++ b/src/instance/instance.ts
@@ -1,6 +1,5 @@
 /**
- * One entry instance: tables, the systems that run over them each tick, and
- * the listeners.
+ * One entry instance: its components, tick loop and listeners.
  *
  * @module
  */
@@ -59,17 +58,17 @@
   SocketListeners,
 } from "./instance_listeners.ts";
 import {
+  createFollower,
+  createSeats,
   type InstanceParts,
-  makeFollower,
-  makeSeats,
 } from "./instance_parts.ts";
 import { outcomeLog } from "./outcome_log.ts";
 import { PlatformContact } from "./platform_contact.ts";
 import { Steering } from "./steering.ts";
-import { type Heritage, stopInOrder } from "./stop_sequence.ts";
+import { type HandOverStep, runStopSequence } from "./stop_sequence.ts";
 import { TickLoop } from "./tick_loop.ts";
 
-/** All that an instance is handed; nothing is global. */
+/** Dependencies of {@link Instance}; it uses no globals. */
 export interface InstanceDeps {
   readonly cfg: Settings;
   readonly platform: Platform;
@@ -79,19 +78,19 @@
   readonly random: Random;
   readonly metrics: Metrics;
   readonly log: Log;
-  /** Sockets by the settings, unless handed in. */
+  /** Defaults to sockets at the addresses in the settings. */
   readonly listeners?: InstanceListeners;
   readonly parts?: InstanceParts;
 }
 
-/** What an instance tells those who listen. */
+/** Events that an instance emits. */
 export interface InstanceEvents {
   document: AcceptedDocument;
   leaving: undefined;
 }
 
 const INCARNATION_BYTES = 8;
-/** Callers hold a look-up's answer this long; then they know of the leaving. */
+/** Callers reuse a look-up answer this long before they learn of the leaving. */
 const LEAVE_NOTICE_MS = MAX_REUSE_MS;
 
 /**
@@ -108,22 +107,22 @@
   readonly #deps: InstanceDeps;
   readonly #listeners: InstanceListeners;
   readonly #incarnation: string;
-  readonly #keys: KeyRing;
-  readonly #contact: PlatformContact;
+  readonly #keyRing: KeyRing;
+  readonly #platformContact: PlatformContact;
   readonly #budgets: FleetBudgets;
   readonly #steering: Steering;
   readonly #roster: Roster;
   readonly #seats: LeasedSeats;
-  readonly #exchange: PeerExchange;
+  readonly #peerExchange: PeerExchange;
   readonly #operations: HomeOperations;
-  readonly #burn: BurnPublisher;
-  readonly #path: RequestPath;
+  readonly #burnPublisher: BurnPublisher;
+  readonly #requestPath: RequestPath;
   readonly #follower: DocumentFollower;
-  readonly #ticks: TickLoop;
-  /** What is handed over at the end, in this order. */
-  readonly #heritage: readonly Heritage[];
-  readonly #sites = new ClientSites();
-  readonly #lookup: EntryLookup;
+  readonly #tickLoop: TickLoop;
+  /** Components that hand over their state at shutdown, in this order. */
+  readonly #handOverSteps: readonly HandOverStep[];
+  readonly #clientSites = new ClientSites();
+  readonly #entryLookup: EntryLookup;
   #document: SteeringDocument = emptyDocument();
   #joined = false;
   #leaving = false;
@@ -134,10 +133,10 @@
     this.#deps = deps;
     this.#listeners = deps.listeners ?? new SocketListeners(deps);
     this.#incarnation = random.hex(INCARNATION_BYTES);
-    this.#contact = new PlatformContact(clock);
-    this.#keys = new KeyRing(() => this.#contact.ageMs());
+    this.#platformContact = new PlatformContact(clock);
+    this.#keyRing = new KeyRing(() => this.#platformContact.ageMs());
     this.#roster = new Roster(clock, cfg.instance.id);
-    this.#seats = makeSeats(deps.parts, {
+    this.#seats = createSeats(deps.parts, {
       ...deps,
       instance: cfg.instance.id,
       zone: cfg.instance.zone,
@@ -153,18 +152,18 @@
       limits: this.#budgets.slotLimits,
       document: () => this.#document,
       leaving: () => this.#leaving,
-      running: () => this.#path.running,
+      running: () => this.#requestPath.running,
     });
-    this.#exchange = new PeerExchange({
+    this.#peerExchange = new PeerExchange({
       ...deps,
       log: log.child("peers"),
       self: () => this.#sender(),
       peers: () => this.#roster.members(),
     });
-    this.#exchange.register(this.#roster);
-    this.#exchange.register(this.#seats);
-    this.#exchange.register(this.#budgets);
-    this.#exchange.register(this.#steering.exchange);
+    this.#peerExchange.register(this.#roster);
+    this.#peerExchange.register(this.#seats);
+    this.#peerExchange.register(this.#budgets);
+    this.#peerExchange.register(this.#steering.loadExchange);
     const document = () => this.#document;
     const { dispatcher, links, retries } = this.#steering;
     const sender = new SlotSender({
@@ -190,8 +189,8 @@
       seats: this.#seats,
       runner,
     });
-    this.#exchange.register(this.#operations);
-    this.#burn = new BurnPublisher({
+    this.#peerExchange.register(this.#operations);
+    this.#burnPublisher = new BurnPublisher({
       ...deps,
       log: log.child("burn"),
       self: {
@@ -202,11 +201,15 @@
       zonePeers: () =>
         this.#roster.live().filter((m) => m.zone === cfg.instance.zone),
     });
-    this.#exchange.register(this.#burn);
-    this.#path = new RequestPath({
+    this.#peerExchange.register(this.#burnPublisher);
+    this.#requestPath = new RequestPath({
       ...deps,
-      outcomes: outcomeLog({ ...deps, counts: this.#burn.counts, document }),
-      keys: this.#keys,
+      outcomes: outcomeLog({
+        ...deps,
+        counts: this.#burnPublisher.counts,
+        document,
+      }),
+      keys: this.#keyRing,
       limiter: this.#budgets.limiter,
       sender,
       retries,
@@ -216,35 +219,38 @@
         : this.#operations,
       document,
     });
-    this.#lookup = new EntryLookup({
+    this.#entryLookup = new EntryLookup({
       clock,
-      everyMs: cfg.tick_ms,
-      own: () => this.#entry(),
+      refreshIntervalMs: cfg.tick_ms,
+      own: () => this.#ownEntry(),
       leaving: () => this.#leaving,
-      sites: this.#sites,
+      sites: this.#clientSites,
       roster: this.#roster,
       seats: this.#seats,
       steering: this.#steering,
       operations: this.#operations,
     });
     this.#follower = this.#makeFollower();
-    this.#exchange.register(this.#follower);
-    this.#exchange.register(this.#contact);
-    this.#heritage = [
-      { name: "forwards", handOver: () => this.#steering.forwardsEnded() },
+    this.#peerExchange.register(this.#follower);
+    this.#peerExchange.register(this.#platformContact);
+    this.#handOverSteps = [
+      {
+        name: "forwards",
+        handOver: () => this.#steering.forwardedRequestsEnded(),
+      },
       { name: "operations", handOver: () => this.#operations.handOver() },
       {
         name: "budgets",
-        limitMs: () => this.#budgets.handOverLimitMs(),
+        timeoutMs: () => this.#budgets.maxHandOverMs(),
         handOver: () => this.#budgets.handOver(),
       },
       { name: "seats", handOver: () => this.#seats.handOver() },
-      { name: "burn", handOver: () => this.#burn.flush() },
+      { name: "burn", handOver: () => this.#burnPublisher.flush() },
     ];
-    this.#ticks = this.#makeTicks();
+    this.#tickLoop = this.#makeTickLoop();
   }
 
-  /** Opens the listeners, joins the others and begins to serve. */
+  /** Opens the listeners, joins the other instances and starts serving. */
   static async start(deps: InstanceDeps): Promise<Result<Instance, Failure>> {
     const instance = new Instance(deps);
     const opened = await instance.#open();
@@ -253,22 +259,22 @@
       return err(opened.error);
     }
     await instance.#join();
-    instance.#ticks.start();
+    instance.#tickLoop.start();
     deps.log.event("instance_started", { instance: deps.cfg.instance.id });
     return ok(instance);
   }
 
-  /** Where callers reach this instance. */
+  /** URL for callers. */
   get callerUrl(): string {
     return this.#listeners.callerUrl;
   }
 
-  /** Where other instances reach this one. */
+  /** URL for other instances. */
   get peerUrl(): string {
     return this.#listeners.peerUrl;
   }
 
-  /** Where operators reach this instance. */
+  /** URL for operators. */
   get adminUrl(): string {
     return this.#listeners.adminUrl;
   }
@@ -278,10 +284,10 @@
     return this.#serving && !this.#leaving;
   }
 
-  /** What this instance says of itself. */
+  /** Status of this instance, as the admin API reports it. */
   status(): InstanceStatus {
     const { id, zone } = this.#deps.cfg.instance;
-    const age = this.#contact.ageMs();
+    const age = this.#platformContact.ageMs();
     const now = this.#deps.clock.now();
     return {
       instance: id,
@@ -291,7 +297,7 @@
       contact_age_ms: Number.isFinite(age) ? Math.round(age) : null,
       seats: this.#seats.held(now),
       settled: this.#budgets.settled(now),
-      running: this.#path.running,
+      running: this.#requestPath.running,
       leaving: this.#leaving,
       drained: this.#steering.drained,
       drains: this.#steering.drains.progress(),
@@ -302,47 +308,47 @@
 
   #peerStatus(): PeerStatus {
     return {
-      batches_sent: this.#exchange.sent,
+      batches_sent: this.#peerExchange.sent,
       listener_bytes: this.#listeners.peerBytes(),
     };
   }
 
-  /** Announces leaving, lets running work end, hands over, then closes. */
+  /** Announces leaving, waits for requests in flight, hands over, then closes. */
   async stop(): Promise<void> {
     this.#leaving = true;
     this.#seats.leave();
     await this.events.emit("leaving");
-    await stopInOrder({
+    await runStopSequence({
       ...this.#deps,
       listeners: this.#listeners,
-      running: () => this.#running(),
+      running: () => this.#requestsInFlight(),
       announce: async () => {
         await Promise.all([
-          this.#deps.platform.announce(this.#listed()),
-          this.#exchange.flush(),
+          this.#deps.platform.announce(this.#ownListing()),
+          this.#peerExchange.flush(),
         ]);
       },
-      flush: () => this.#exchange.flush(),
-      heritage: this.#heritage,
-      noticeMs: LEAVE_NOTICE_MS,
+      flush: () => this.#peerExchange.flush(),
+      handOverSteps: this.#handOverSteps,
+      leaveNoticeMs: LEAVE_NOTICE_MS,
     });
     await this.close();
   }
 
-  /** Requests of callers and of other instances that have not ended. */
-  #running(): number {
+  /** Requests in flight, from callers and from other instances. */
+  #requestsInFlight(): number {
     const rows = this.#steering.local.rows();
-    return rows.reduce((n, row) => n + row.inFlight, this.#path.running);
+    return rows.reduce((n, row) => n + row.inFlight, this.#requestPath.running);
   }
 
-  /** Ends at once, cutting what runs. */
+  /** Closes immediately and cuts requests in flight. */
   close(): Promise<void> {
     this.#closed ??= this.#close();
     return this.#closed;
   }
 
   async #close(): Promise<void> {
-    this.#ticks.close();
+    this.#tickLoop.close();
     this.#follower.close();
     this.#budgets.close();
     await this.#listeners.close();
@@ -353,18 +359,18 @@
   }
 
   /**
-   * Adopts the newest document that the store or any peer has, before serving:
-   * a stale store would otherwise bring a withdrawn key back to life here.
+   * Adopts the newest document of the store and all peers before serving;
+   * otherwise a stale store read could make a withdrawn key valid here again.
    */
   async #join(): Promise<void> {
     const { platform } = this.#deps;
-    await platform.announce(this.#listed());
+    await platform.announce(this.#ownListing());
     const [listed] = await Promise.all([
       platform.instances(),
       this.#follower.start(),
     ]);
     if (listed.isOk()) this.#roster.applyList(listed.value);
-    await this.#exchange.flush();
+    await this.#peerExchange.flush();
     await this.#follower.settled();
     this.#joined = true;
   }
@@ -372,13 +378,13 @@
   #open(): Promise<Result<void, Failure>> {
     return this.#listeners.open({
       caller: callerApp({
-        path: this.#path,
-        lookup: (client) => this.#lookup.answer(client),
+        path: this.#requestPath,
+        lookup: (client) => this.#entryLookup.answer(client),
         ready: () => this.#serving,
       }),
       admin: this.#adminApp(),
       forwards: this.#forwardApp(),
-      batch: (batch) => this.#exchange.answer(batch),
+      batch: (batch) => this.#peerExchange.answer(batch),
       ledger: this.#operations,
       borrow: (call) => this.#budgets.answer(call),
       document: this.#follower,
@@ -400,9 +406,9 @@
   #makeFollower(): DocumentFollower {
     const { cfg, clock, log, platform, random, transport } = this.#deps;
     const contents = new ContentStore(platform);
-    const contact = this.#contact;
+    const contact = this.#platformContact;
     const { id, zone } = cfg.instance;
-    return makeFollower(this.#deps.parts, {
+    return createFollower(this.#deps.parts, {
       source: new DocumentSource({
         platform,
         contents,
@@ -415,33 +421,33 @@
       random,
       log: log.child("document"),
       watches: () => {
-        const mates = this.#roster.live().filter((m) => m.zone === zone);
-        const members = [id, ...mates.map((m) => m.instance)];
+        const zonePeers = this.#roster.live().filter((m) => m.zone === zone);
+        const members = [id, ...zonePeers.map((m) => m.instance)];
         return rendezvousOwner(`watch ${zone}`, members) === id;
       },
       onDocument: (accepted) => this.#adopt(accepted),
     });
   }
 
-  /** What runs each tick, in this order. */
-  #makeTicks(): TickLoop {
+  /** Registers the tasks of each tick, in order. */
+  #makeTickLoop(): TickLoop {
     const { cfg, clock, log } = this.#deps;
-    const ticks = new TickLoop(clock, log, cfg.tick_ms);
-    ticks.add(this.#budgets);
-    ticks.add(this.#sites);
-    ticks.add({ name: "peers", run: () => this.#exchange.run() });
-    ticks.add({ name: "seats", run: (now) => this.#seats.run(now) });
-    ticks.add({
+    const tickLoop = new TickLoop(clock, log, cfg.tick_ms);
+    tickLoop.add(this.#budgets);
+    tickLoop.add(this.#clientSites);
+    tickLoop.add({ name: "peers", run: () => this.#peerExchange.run() });
+    tickLoop.add({ name: "seats", run: (now) => this.#seats.run(now) });
+    tickLoop.add({
       name: "operations",
       run: (now) => this.#operations.sweep(now),
     });
-    ticks.add({
+    tickLoop.add({
       name: "steering",
       run: (now) => this.#steering.tick(now),
     });
-    ticks.add({ name: "burn", run: (now) => this.#burn.run(now) });
-    ticks.add(this.#roster);
-    ticks.add(
+    tickLoop.add({ name: "burn", run: (now) => this.#burnPublisher.run(now) });
+    tickLoop.add(this.#roster);
+    tickLoop.add(
       new InstanceListPoller({
         ...this.#deps,
         instance: cfg.instance.id,
@@ -449,7 +455,7 @@
         roster: this.#roster,
       }),
     );
-    return ticks;
+    return tickLoop;
   }
 
   #makeBudgets(): FleetBudgets {
@@ -472,29 +478,29 @@
   }
 
   #forwardApp(): RequestListener {
-    const { intake, links, exchange } = this.#steering;
+    const { forwardedAdmission, links, loadExchange } = this.#steering;
     return forwardApp({
       ...this.#deps,
-      intake,
+      intake: forwardedAdmission,
       links,
       region: this.#deps.cfg.instance.region,
-      peerOf: (identity) => exchange.peerOf(identity),
+      peerOf: (identity) => loadExchange.findPeer(identity),
     });
   }
 
   #adopt(accepted: AcceptedDocument): void {
     const now = this.#deps.clock.now();
     this.#document = accepted.document;
-    this.#keys.adopt(accepted.document);
-    this.#sites.adopt(accepted.document);
-    if (!this.#joined) this.#sites.settle();
+    this.#keyRing.adopt(accepted.document);
+    this.#clientSites.adopt(accepted.document);
+    if (!this.#joined) this.#clientSites.rebuildAll();
     this.#budgets.adopt(accepted.document, accepted.manifest.generation);
     this.#steering.adopt(accepted.document, now);
     this.#operations.adopt(zonesOf(accepted.document));
     void this.events.emit("document", accepted);
   }
 
-  #entry(): EntryChoice {
+  #ownEntry(): EntryChoice {
     const { id, zone, region } = this.#deps.cfg.instance;
     return { instance: id, zone, region, url: this.callerUrl };
   }
@@ -512,7 +518,7 @@
     });
   }
 
-  #listed(): ListedInstance {
+  #ownListing(): ListedInstance {
     const { id, zone, region } = this.#deps.cfg.instance;
     return {
       instance: id,
--- a/src/instance/instance_listeners.ts
+++ b/src/instance/instance_listeners.ts
@@ -1,6 +1,6 @@
 /**
- * Where an instance is reached: by sockets, or, in a program that holds many
- * instances, by whatever stands behind the same interface.
+ * Listeners of an instance: sockets by default, or another implementation in a
+ * program that runs many instances.
  *
  * @module
  */
@@ -17,14 +17,14 @@
   peerListener,
   PeerServer,
 } from "../peers/mod.ts";
-import { callerOptions } from "./caller_options.ts";
+import { callerListenerOptions } from "./caller_listener_options.ts";
 import { Listener } from "./listener.ts";
 
-/** All that an instance answers. */
+/** Handlers for everything that reaches an instance. */
 export interface InstanceHandlers {
   readonly caller: RequestListener;
   readonly admin: RequestListener;
-  /** Requests that another instance sends on. */
+  /** Requests forwarded by other instances. */
   readonly forwards: RequestListener;
   readonly batch: BatchHandler;
   readonly ledger: LedgerHandler;
@@ -32,23 +32,23 @@
   readonly document: DocumentHandler;
 }
 
-/** Where an instance is reached; URLs are empty before `open`. */
+/** Listeners of an instance; URLs are empty before `open`. */
 export interface InstanceListeners {
   readonly callerUrl: string;
   readonly peerUrl: string;
   readonly adminUrl: string;
   open(handlers: InstanceHandlers): Promise<Result<void, Failure>>;
-  /** Bytes that passed the peer listener so far, both ways. */
+  /** Bytes received and sent by the peer listener so far. */
   peerBytes(): number;
-  /** From now on callers are told to go elsewhere. */
+  /** Makes each later response to a caller close its connection. */
   leave(): void;
-  /** Takes no new caller; comes back when all were answered. */
+  /** Accepts no new callers; resolves when all are answered. */
   drain(): Promise<void>;
-  /** Ends at once. */
+  /** Closes immediately. */
   close(): Promise<void>;
 }
 
-type SocketDeps = Parameters<typeof callerOptions>[0];
+type SocketDeps = Parameters<typeof callerListenerOptions>[0];
 
 interface Sockets {
   readonly caller: Listener;
@@ -56,7 +56,7 @@
   readonly admin: Listener;
 }
 
-/** Listening sockets at the addresses of the settings. */
+/** Sockets at the addresses in the settings. */
 export class SocketListeners implements InstanceListeners {
   readonly #deps: SocketDeps;
   #sockets: Partial<Sockets> = {};
@@ -79,13 +79,13 @@
 
   async open(handlers: InstanceHandlers): Promise<Result<void, Failure>> {
     const { cfg } = this.#deps;
-    const opts = callerOptions(this.#deps);
+    const opts = callerListenerOptions(this.#deps);
     const caller = await Listener.open(cfg.caller, handlers.caller, opts);
     if (caller.isErr()) return err(caller.error);
     this.#sockets = { caller: caller.value };
     const peer = await PeerServer.open({
       ...cfg.peer,
-      http1: peerSide(handlers),
+      http1: peerRequestListener(handlers),
       http2: batchListener(handlers.batch),
     });
     if (peer.isErr()) return err(peer.error);
@@ -102,7 +102,7 @@
   }
 
   leave(): void {
-    this.#sockets.caller?.leave();
+    this.#sockets.caller?.closeAfterResponses();
   }
 
   async drain(): Promise<void> {
@@ -115,8 +115,8 @@
   }
 }
 
-/** Forwarded requests beside the peers' own messages. */
-function peerSide(handlers: InstanceHandlers): RequestListener {
+/** Routes forwarded requests and peer messages on one listener. */
+function peerRequestListener(handlers: InstanceHandlers): RequestListener {
   const peers = peerListener(handlers);
   return (req, res) => {
     if (req.url?.startsWith(`${FORWARD_PATH}/`)) handlers.forwards(req, res);
--- a/src/instance/instance_parts.ts
+++ b/src/instance/instance_parts.ts
@@ -1,6 +1,6 @@
 /**
- * Parts of an instance that may be handed in as classes of their own: the
- * plain baselines, or one with a planted fault, to see that checks catch it.
+ * Component classes of an instance that tests can replace, with a baseline or
+ * with one that has an injected fault, to prove that checks detect it.
  *
  * @module
  */
@@ -11,23 +11,21 @@
   type DocumentFollowerDeps,
 } from "./document_follower.ts";
 
-/** Classes that replace those of the library. */
+/** Classes that replace the default ones. */
 export interface InstanceParts {
   readonly seats?: new (deps: LeasedSeatsDeps) => LeasedSeats;
   readonly follower?: new (deps: DocumentFollowerDeps) => DocumentFollower;
   readonly operations?: new (runner: OperationRunner) => Operations;
 }
 
-/** Makes seats, by the class that was handed in. */
-export function makeSeats(
+export function createSeats(
   parts: InstanceParts | undefined,
   deps: LeasedSeatsDeps,
 ): LeasedSeats {
   return new (parts?.seats ?? LeasedSeats)(deps);
 }
 
-/** Makes a follower, by the class that was handed in. */
-export function makeFollower(
+export function createFollower(
   parts: InstanceParts | undefined,
   deps: DocumentFollowerDeps,
 ): DocumentFollower {
--- a/src/instance/listener.ts
+++ b/src/instance/listener.ts
@@ -1,5 +1,5 @@
 /**
- * An HTTP listener with an explicit end.
+ * HTTP and HTTPS listeners with graceful draining.
  *
  * @module
  */
@@ -17,24 +17,25 @@
 import { err, ok, type Result } from "neverthrow";
 import { type Clock, fail, type Failure, type Log } from "../core/mod.ts";
 import {
-  CHECK_EVERY_MS,
-  LimitGuard,
+  CHECK_INTERVAL_MS,
+  LimitEnforcer,
   type ListenerLimits,
 } from "./listener_limits.ts";
-import { readTlsPair, type TlsFiles, TlsReloader } from "./tls_files.ts";
+import { readTlsCredentials, type TlsFiles, TlsReloader } from "./tls_files.ts";
 
-/** Where a listener stands. */
+/** Address that a listener binds to. */
 export interface ListenAddress {
   readonly host: string;
   readonly port: number;
 }
 
 /**
- * How long a connection without a request is kept, in milliseconds, where no
- * limits are given. Answers announce it, so that callers give an idle connection up before its end.
+ * Idle time-out of a connection where no limits are given. Responses announce
+ * it, so that callers close idle connections before it expires.
  */
-export const KEEP_ALIVE_MS = 3_000;
-/** What a listener may have besides its address. */
+export const IDLE_TIMEOUT_MS = 3_000;
+
+/** Optional limits and TLS of a listener. */
 export interface ListenerOptions {
   readonly limits?: ListenerLimits;
   readonly tls?: {
@@ -53,7 +54,7 @@
   readonly #server: Server;
   readonly #parts: readonly Closeable[];
   readonly url: string;
-  #leaving = false;
+  #closesAfterResponses = false;
 
   private constructor(
     server: Server,
@@ -66,15 +67,15 @@
     this.#server = server;
     this.#parts = parts;
     server.prependListener("request", (_req, res) => {
-      if (this.#leaving) res.setHeader("connection", "close");
+      if (this.#closesAfterResponses) res.setHeader("connection", "close");
     });
     const { port } = server.address() as AddressInfo;
     this.url = `${scheme}://${host}:${port}`;
   }
 
   /**
-   * Opens a listener; fails with `bad_settings` where the address is taken or
-   * certificate and key cannot be used.
+   * Opens a listener; fails with `bad_settings` if the address is in use or the
+   * certificate and key are unusable.
    */
   static async open(
     address: ListenAddress,
@@ -84,40 +85,39 @@
     const made = await makeServer(opts);
     if (made.isErr()) return err(made.error);
     const { server, parts } = made.value;
-    const guard = opts.limits && new LimitGuard(server, opts.limits);
-    if (guard === undefined) server.keepAliveTimeout = KEEP_ALIVE_MS;
+    const limiter = opts.limits && new LimitEnforcer(server, opts.limits);
+    if (limiter === undefined) server.keepAliveTimeout = IDLE_TIMEOUT_MS;
     server.on("request", (req, res) => {
-      if (guard === undefined || guard.admit(req, res)) handler(req, res);
+      if (limiter === undefined || limiter.admit(req, res)) handler(req, res);
     });
     return await listen(server, address).then((listening) =>
       listening.map(() =>
         new Listener(server, {
           host: address.host,
           scheme: opts.tls ? "https" : "http",
-          parts: guard ? [...parts, guard] : parts,
+          parts: limiter ? [...parts, limiter] : parts,
         })
       )
     );
   }
 
-  /** From now on each answer ends its connection. */
-  leave(): void {
-    this.#leaving = true;
+  /** Makes each later response close its connection. */
+  closeAfterResponses(): void {
+    this.#closesAfterResponses = true;
   }
 
   /**
-   * Takes no new connection and ends when no connection is left.
+   * Accepts no new connection and resolves when all connections have ended.
    *
-   * A connection without a request is not closed at once: its caller may be
-   * sending the next request at this moment and would find it cut. It ends
-   * with the answer to that request, or after a few seconds, when every caller
-   * has asked anew where to go.
+   * An idle connection is not closed at once, since its caller may be sending
+   * the next request. It ends with the response to that request or when the
+   * idle time-out expires; by then callers have looked up other instances.
    */
   async drain(): Promise<void> {
-    this.leave();
+    this.closeAfterResponses();
     const timer = setTimeout(() => {
       this.#server.closeIdleConnections();
-    }, Math.min(KEEP_ALIVE_MS, this.#server.keepAliveTimeout));
+    }, Math.min(IDLE_TIMEOUT_MS, this.#server.keepAliveTimeout));
     await new Promise<void>((resolve) => {
       NetServer.prototype.close.call(this.#server, () => resolve());
     });
@@ -125,7 +125,7 @@
     this.#server.close();
   }
 
-  /** Cuts every connection. */
+  /** Closes every connection immediately. */
   close(): Promise<void> {
     for (const part of this.#parts) part.close();
     return new Promise((resolve) => {
@@ -145,17 +145,17 @@
 ): Promise<Result<MadeServer, Failure>> {
   const httpOpts: ServerOptions = limits === undefined ? {} : {
     maxHeaderSize: limits.headerBytes,
-    connectionsCheckingInterval: CHECK_EVERY_MS,
+    connectionsCheckingInterval: CHECK_INTERVAL_MS,
   };
   if (tls === undefined) {
     return ok({ server: createServer(httpOpts), parts: [] });
   }
-  const pair = await readTlsPair(tls.files);
+  const pair = await readTlsCredentials(tls.files);
   if (pair.isErr()) return err(pair.error);
   const server: TlsServer = createTlsServer({ ...httpOpts, ...pair.value });
-  // Connections that are open keep the context they began with.
-  const onPair = server.setSecureContext.bind(server);
-  const reloader = new TlsReloader({ ...tls, onPair }, pair.value);
+  // Open connections keep the context they started with.
+  const onChange = server.setSecureContext.bind(server);
+  const reloader = new TlsReloader({ ...tls, onChange }, pair.value);
   return ok({ server, parts: [reloader] });
 }
 
--- a/src/instance/listener_limits.ts
+++ b/src/instance/listener_limits.ts
@@ -1,11 +1,9 @@
 /**
- * What one caller may take of a listener: header and body size, connections
- * and time.
+ * Limits of a listener: header and body size, connections and time.
  *
- * Without them a single caller holds up all others: by connections that it
- * opens and leaves, by headers that it sends a byte a minute, or by a body
- * without end. One would notice memory and open sockets that grow while the
- * number of answered requests does not.
+ * Without them a single caller can block all others, with idle connections,
+ * headers sent a byte a minute, or an endless body. The symptom is that memory
+ * and open sockets grow while the number of answered requests does not.
  *
  * @module
  */
@@ -15,34 +13,33 @@
 import type { Duplex } from "node:stream";
 import type { Outcome } from "../core/mod.ts";
 
-/** Limits of a listener. */
 export interface ListenerLimits {
-  /** Bytes of a request's header fields together. */
+  /** Total size of a request's header fields, in bytes. */
   readonly headerBytes: number;
-  /** Bytes of a request's body. */
+  /** Size of a request's body, in bytes. */
   readonly bodyBytes: number;
-  /** Connections over all callers. */
+  /** Connections of all callers together. */
   readonly connections: number;
   /** Connections from one address. */
   readonly connectionsPerAddress: number;
-  /** How long a caller may take to send its header fields, in milliseconds. */
+  /** Time-out for receiving the header fields, in milliseconds. */
   readonly headerMs: number;
-  /** How long a caller may take to send a whole request, in milliseconds. */
+  /** Time-out for receiving a whole request, in milliseconds. */
   readonly requestMs: number;
-  /** How long a connection may rest between requests, in milliseconds. */
+  /** Time-out of a connection that is idle between requests, in milliseconds. */
   readonly idleMs: number;
 }
 
-/** How often times and sizes are looked at, in milliseconds. */
-export const CHECK_EVERY_MS = 1_000;
+/** How often time-outs and body sizes are checked. */
+export const CHECK_INTERVAL_MS = 1_000;
 
-/** Holds a server to its limits. */
-export class LimitGuard {
+/** Enforces limits on a server. */
+export class LimitEnforcer {
   readonly #limits: ListenerLimits;
-  readonly #perAddress = new Map<string, number>();
-  readonly #bodies = new Map<IncomingMessage, number>();
-  /** The request that each connection is in the middle of. */
-  readonly #running = new WeakMap<Duplex, ServerResponse>();
+  readonly #connectionsByAddress = new Map<string, number>();
+  readonly #chunkedBodyStarts = new Map<IncomingMessage, number>();
+  /** The response in progress on each connection. */
+  readonly #activeResponses = new WeakMap<Duplex, ServerResponse>();
   readonly #timer: NodeJS.Timeout;
 
   constructor(server: Server, limits: ListenerLimits) {
@@ -51,30 +48,33 @@
     server.headersTimeout = limits.headerMs;
     server.requestTimeout = limits.requestMs;
     server.keepAliveTimeout = limits.idleMs;
-    server.on("connection", (socket: Socket) => this.#count(socket));
+    server.on("connection", (socket: Socket) => this.#trackConnection(socket));
     server.on("clientError", (cause, socket) => {
-      answerClientError(cause, socket, this.#running.get(socket));
+      answerClientError(cause, socket, this.#activeResponses.get(socket));
     });
-    this.#timer = setInterval(() => this.#sweep(), CHECK_EVERY_MS);
+    this.#timer = setInterval(
+      () => this.#closeOversizedBodies(),
+      CHECK_INTERVAL_MS,
+    );
     this.#timer.unref();
   }
 
   /**
-   * Whether a request may go on. A body of announced length is judged by its
-   * announcement, another by what has come, so that it need not be kept; what
-   * came in one piece with the header fields is not counted.
+   * Returns whether a request may proceed. A body with a content length is
+   * checked against it. A chunked body is checked by the bytes received, so that
+   * it need not be buffered; bytes received with the header fields don't count.
    */
   admit(req: IncomingMessage, res: ServerResponse): boolean {
-    const announced = Number(req.headers["content-length"] ?? 0);
-    if (announced > this.#limits.bodyBytes) {
-      refuseBody(res, this.#limits.bodyBytes);
+    const contentLength = Number(req.headers["content-length"] ?? 0);
+    if (contentLength > this.#limits.bodyBytes) {
+      rejectLargeBody(res, this.#limits.bodyBytes);
       return false;
     }
-    this.#running.set(req.socket, res);
-    res.once("close", () => this.#running.delete(req.socket));
+    this.#activeResponses.set(req.socket, res);
+    res.once("close", () => this.#activeResponses.delete(req.socket));
     if (req.headers["transfer-encoding"] !== undefined) {
-      this.#bodies.set(req, req.socket.bytesRead);
-      req.once("close", () => this.#bodies.delete(req));
+      this.#chunkedBodyStarts.set(req, req.socket.bytesRead);
+      req.once("close", () => this.#chunkedBodyStarts.delete(req));
     }
     return true;
   }
@@ -83,54 +83,54 @@
     clearInterval(this.#timer);
   }
 
-  #count(socket: Socket): void {
+  #trackConnection(socket: Socket): void {
     const address = socket.remoteAddress ?? "";
-    const open = (this.#perAddress.get(address) ?? 0) + 1;
-    this.#perAddress.set(address, open);
-    socket.once("close", () => this.#uncount(address));
+    const open = (this.#connectionsByAddress.get(address) ?? 0) + 1;
+    this.#connectionsByAddress.set(address, open);
+    socket.once("close", () => this.#untrackConnection(address));
     if (open > this.#limits.connectionsPerAddress) socket.destroy();
   }
 
-  #uncount(address: string): void {
-    const left = (this.#perAddress.get(address) ?? 1) - 1;
-    if (left > 0) this.#perAddress.set(address, left);
-    else this.#perAddress.delete(address);
+  #untrackConnection(address: string): void {
+    const left = (this.#connectionsByAddress.get(address) ?? 1) - 1;
+    if (left > 0) this.#connectionsByAddress.set(address, left);
+    else this.#connectionsByAddress.delete(address);
   }
 
-  #sweep(): void {
-    for (const [req, from] of this.#bodies) {
-      const taken = req.socket.bytesRead - from;
-      if (taken > this.#limits.bodyBytes) req.socket.destroy();
+  #closeOversizedBodies(): void {
+    for (const [req, from] of this.#chunkedBodyStarts) {
+      const received = req.socket.bytesRead - from;
+      if (received > this.#limits.bodyBytes) req.socket.destroy();
     }
   }
 }
 
-function refuseBody(res: ServerResponse, limit: number): void {
-  const message = `a body may have ${limit} bytes`;
-  const body = refusal("value_too_large", message, "not-run");
+function rejectLargeBody(res: ServerResponse, limit: number): void {
+  const message = `the request body is larger than ${limit} bytes`;
+  const body = errorBody("value_too_large", message, "not-run");
   res.writeHead(413, { ...headersFor("not-run"), "connection": "close" });
   res.end(body);
 }
 
 /**
- * Answers what could not be read to its end. Nothing was run of a request that
- * had not begun; of one whose body broke off, an endpoint may have seen a part.
+ * Responds to a request that could not be read completely. If its body was cut
+ * off, an endpoint may have received a part; otherwise nothing was executed.
  */
 function answerClientError(
   cause: Error & { readonly code?: string },
   socket: Duplex,
-  running: ServerResponse | undefined,
+  res: ServerResponse | undefined,
 ): void {
-  const begun = running !== undefined;
+  const requestStarted = res !== undefined;
   if (
-    !socket.writable || cause.code === "ECONNRESET" || running?.headersSent
+    !socket.writable || cause.code === "ECONNRESET" || res?.headersSent
   ) {
     socket.destroy();
     return;
   }
   const [status, message] = CLIENT_ERRORS[cause.code ?? ""] ?? MALFORMED;
-  const outcome = begun ? "unknown" : "not-run";
-  const body = refusal("bad_request", message, outcome);
+  const outcome = requestStarted ? "unknown" : "not-run";
+  const body = errorBody("bad_request", message, outcome);
   const fields = Object.entries({
     ...headersFor(outcome),
     "connection": "close",
@@ -158,6 +158,6 @@
   ],
 };
 
-function refusal(code: string, message: string, outcome: Outcome): string {
+function errorBody(code: string, message: string, outcome: Outcome): string {
   return JSON.stringify({ code, message, path: [], outcome });
 }
--- a/src/instance/listener_test.ts
+++ b/src/instance/listener_test.ts
@@ -8,7 +8,7 @@
 import { Listener, type ListenerOptions } from "./listener.ts";
 import type { ListenerLimits } from "./listener_limits.ts";
 import { CERTIFICATE_ONE, CERTIFICATE_TWO } from "./testing/certificates.ts";
-import type { TlsPair } from "./tls_files.ts";
+import type { TlsCredentials } from "./tls_files.ts";
 
 const LIMITS: ListenerLimits = {
   headerBytes: 2_048,
@@ -34,7 +34,7 @@
   return { listener, port: Number(new URL(listener.url).port) };
 }
 
-/** Sends raw bytes and gives all that comes back until the other end closes. */
+/** Sends raw bytes and returns all received bytes until the server closes. */
 function exchange(port: number, ...sent: string[]): Promise<string> {
   return new Promise((resolve) => {
     const socket = connect(port, "127.0.0.1");
@@ -46,14 +46,14 @@
   });
 }
 
-interface LimitRow {
+interface LimitCase {
   readonly name: string;
   readonly sent: readonly string[];
   readonly answer: RegExp;
   readonly limits?: Partial<ListenerLimits>;
 }
 
-const ROWS: LimitRow[] = [
+const LIMIT_CASES: LimitCase[] = [
   {
     name: "header fields that are too large",
     sent: [`GET / HTTP/1.1\r\nhost: x\r\nx-a: ${"a".repeat(4_000)}\r\n\r\n`],
@@ -81,7 +81,7 @@
   {
     name: "a body that never ends",
     sent: ["POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 10\r\n\r\nab"],
-    // An endpoint may have seen the part that came, so this is not "not-run".
+    // An endpoint may have received a part, so the outcome is not "not-run".
     answer: /^HTTP\/1\.1 408 .*unknown/s,
   },
   {
@@ -98,10 +98,10 @@
   },
 ];
 
-for (const row of ROWS) {
+for (const row of LIMIT_CASES) {
   test(`a caller sends ${row.name}`, async (t) => {
-    // One caller would hold a connection and memory for as long as it likes.
-    // It is refused by a limit, and the listener serves the next one.
+    // Without limits one caller could hold a connection and memory indefinitely.
+    // A limit refuses it, and the listener serves the next one.
     const limits = { ...LIMITS, ...row.limits };
     const { listener, port } = await setup(t, { limits });
     t.regex(await exchange(port, ...row.sent), row.answer);
@@ -110,8 +110,8 @@
   });
 }
 
-test("one address opens more connections than it may", async (t) => {
-  // A caller that leaks connections would use up everybody's.
+test("connections above the limit per address are closed", async (t) => {
+  // A caller that leaks connections would otherwise use up the listener's total.
   const { port } = await setup(t, { limits: LIMITS });
   const sockets = await Promise.all(
     Array.from({ length: 3 }, () => opened(port)),
@@ -132,9 +132,9 @@
   const files = {
     certFile: join(dir, "cert.pem"),
     keyFile: join(dir, "key.pem"),
-    reloadMs: 20,
+    reloadIntervalMs: 20,
   };
-  const replace = async ({ cert, key }: TlsPair) => {
+  const replace = async ({ cert, key }: TlsCredentials) => {
     await writeFile(files.certFile, cert);
     await writeFile(files.keyFile, key);
   };
@@ -162,9 +162,9 @@
   });
 }
 
-test("a certificate is replaced while a connection is open", async (t) => {
-  // Certificates run out every few weeks. The connection that is open goes on,
-  // and the next one gets the new certificate without a restart.
+test("a certificate is reloaded while a connection is open", async (t) => {
+  // Certificates are rotated every few weeks. An open connection continues, and
+  // the next one gets the new certificate without a restart.
   const { files, replace } = await tlsSetup(t);
   await replace(CERTIFICATE_ONE);
   const tls = { files, clock: new SystemClock(), log: new SilentLog() };
@@ -184,9 +184,9 @@
   before.destroy();
 });
 
-test("a certificate whose key is not there yet leaves the old pair in use", async (t) => {
-  // The two files are replaced one after the other. In between they do not fit
-  // together; callers go on with the old certificate.
+test("a certificate whose key is not yet replaced leaves the old pair in use", async (t) => {
+  // The two files are replaced one after the other. In between they do not match,
+  // and new connections get the old certificate.
   const { files, replace } = await tlsSetup(t);
   await replace(CERTIFICATE_ONE);
   let seen = () => {};
@@ -204,7 +204,7 @@
   socket.destroy();
 });
 
-const UNUSABLE: [string, TlsPair][] = [
+const UNUSABLE: [string, TlsCredentials][] = [
   [
     "a key of another certificate",
     { cert: CERTIFICATE_ONE.cert, key: CERTIFICATE_TWO.key },
@@ -216,8 +216,8 @@
 
 for (const [name, pair] of UNUSABLE) {
   test(`${name} is refused`, async (t) => {
-    // A file is empty for a moment while it is written anew. Taken for a
-    // certificate, it would make every handshake fail until the next look.
+    // A file is empty while it is being rewritten. Accepting it as a certificate
+    // would make every handshake fail until the next reload.
     const { files, replace } = await tlsSetup(t);
     await replace(pair);
     const opened = await Listener.open(
--- a/src/instance/load_exchange.ts
+++ b/src/instance/load_exchange.ts
@@ -1,6 +1,6 @@
 /**
- * What instances tell each other of load: probe results within the zone, how
- * busy each is, and how much room one grants another.
+ * Gossips load between instances: probe results within the zone, the load of
+ * each instance, and the capacity that one grants another.
  *
  * @module
  */
@@ -32,36 +32,36 @@
 import type { Batch, Sender } from "../gen/peer_pb.ts";
 import type { PeerSubsystem } from "../peers/mod.ts";
 
-/** What the exchange of load needs. */
+/** Dependencies of {@link LoadExchange}. */
 export interface LoadExchangeDeps {
   readonly clock: Clock;
   readonly zone: ZoneId;
   readonly region: RegionId;
   readonly prober: Prober;
   readonly grants: CapacityGrants;
-  readonly intake: ForwardedAdmission;
-  readonly rooms: RemoteCapacityTable;
+  readonly forwardedAdmission: ForwardedAdmission;
+  readonly remoteCapacity: RemoteCapacityTable;
   readonly links: LinkBudgets;
   readonly dispatcher: RegionDispatcher;
   readonly services: () => readonly ServiceId[];
-  /** How busy this instance is, from 0 up. */
+  /** Load of this instance; 0 is idle, 1 is all slots in use. */
   readonly load: () => number;
 }
 
-/** A peer as its last batch showed it. */
-interface HeardPeer extends RemotePeer {
+/** A peer's state in its last batch. */
+interface KnownPeer extends RemotePeer {
   readonly incarnation: string;
   readonly load: number;
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
-/** A peer that was silent this long is known no more, in milliseconds. */
-const FORGET_MS = 60_000;
+/** A peer that sends no batch for this long is removed. */
+const PEER_EXPIRY_MS = 60_000;
 
-/** Owns the load part of the batch. */
+/** Sends and receives the load part of batches. */
 export class LoadExchange implements PeerSubsystem {
   readonly #deps: LoadExchangeDeps;
-  readonly #heard = new Map<InstanceId, HeardPeer>();
+  readonly #peers = new Map<InstanceId, KnownPeer>();
 
   constructor(deps: LoadExchangeDeps) {
     this.#deps = deps;
@@ -69,9 +69,9 @@
 
   fill(batch: Batch, to: string): void {
     const part = create(LoadPartSchema, { load: this.#deps.load() });
-    const peer = this.#heard.get(to as InstanceId);
+    const peer = this.#peers.get(to as InstanceId);
     if (peer?.zone === this.#deps.zone) this.#deps.prober.fill(part);
-    part.services = this.#roomsFor(to as InstanceId, peer);
+    part.services = this.#serviceRoomsFor(to as InstanceId, peer);
     batch.load = part;
   }
 
@@ -79,42 +79,42 @@
     const { load } = batch;
     const peer = load && parsePeer(from, load, this.#deps.clock.now());
     if (load === undefined || peer === undefined) return;
-    this.#heard.set(peer.instance, peer);
+    this.#peers.set(peer.instance, peer);
     if (peer.zone === this.#deps.zone) this.#deps.prober.absorb(load);
-    for (const room of load.services) this.#absorbRoom(peer, room);
-    if (load.services.length > 0) this.#deps.dispatcher.retry(peer.heardAt);
+    for (const room of load.services) this.#applyServiceRoom(peer, room);
+    if (load.services.length > 0) this.#deps.dispatcher.retry(peer.receivedAt);
   }
 
-  /** The peer whose present life has this token; undefined if none was heard. */
-  peerOf(identity: ForwardIdentity): ForwardingInstance | undefined {
-    const peer = this.#heard.get(identity.instance as InstanceId);
+  /** The peer with this instance id and incarnation; undefined if unknown. */
+  findPeer(identity: ForwardIdentity): ForwardingInstance | undefined {
+    const peer = this.#peers.get(identity.instance as InstanceId);
     return peer?.incarnation === identity.incarnation ? peer : undefined;
   }
 
-  /** How busy an instance said it is; undefined if it was not heard. */
+  /** Load that an instance last reported; undefined if unknown. */
   loadOf(instance: InstanceId): number | undefined {
-    return this.#heard.get(instance)?.load;
+    return this.#peers.get(instance)?.load;
   }
 
   tick(now: number): void {
-    for (const [id, peer] of this.#heard) {
-      if (now - peer.heardAt > FORGET_MS) this.#heard.delete(id);
+    for (const [id, peer] of this.#peers) {
+      if (now - peer.receivedAt > PEER_EXPIRY_MS) this.#peers.delete(id);
     }
     this.#deps.grants.tick(now);
-    this.#deps.rooms.retain(new Set(this.#heard.keys()));
+    this.#deps.remoteCapacity.retain(new Set(this.#peers.keys()));
   }
 
-  #roomsFor(to: InstanceId, peer: HeardPeer | undefined): ServiceRoom[] {
+  #serviceRoomsFor(to: InstanceId, peer: KnownPeer | undefined): ServiceRoom[] {
     const { clock, grants, dispatcher, services } = this.#deps;
     const now = clock.now();
-    const asked = new Set(grants.servicesRequestedBy(to, now));
+    const requested = new Set(grants.servicesRequestedBy(to, now));
     return services().flatMap((service) => {
       const wanted = dispatcher.wanted(service);
-      if (wanted === 0 && !asked.has(service)) return [];
-      const granted = asked.has(service)
+      if (wanted === 0 && !requested.has(service)) return [];
+      const granted = requested.has(service)
         ? grants.grant(
           { instance: to, service },
-          this.#shareable(service, peer, now),
+          this.#grantableCapacity(service, peer, now),
           now,
         )
         : 0;
@@ -122,26 +122,26 @@
     });
   }
 
-  /** Nothing is granted over a link that has no room for the answers. */
-  #shareable(
+  /** Capacity to grant; none over a link without bandwidth for the responses. */
+  #grantableCapacity(
     service: ServiceId,
-    peer: HeardPeer | undefined,
+    peer: KnownPeer | undefined,
     now: number,
   ): number {
-    const { intake, links, region } = this.#deps;
+    const { forwardedAdmission, links, region } = this.#deps;
     if (peer === undefined) return 0;
     if (peer.region !== region && !links.canSend(peer.region, now)) return 0;
-    return intake.forwardedCapacity(service, now);
+    return forwardedAdmission.forwardedCapacity(service, now);
   }
 
-  #absorbRoom(peer: HeardPeer, room: ServiceRoom): void {
+  #applyServiceRoom(peer: KnownPeer, room: ServiceRoom): void {
     const service = ServiceId.safeParse(room.service);
     if (!service.success) return;
     const from = { instance: peer.instance, service: service.data };
-    this.#deps.grants.request(from, room.wanted, peer.heardAt);
-    this.#deps.rooms.update(service.data, peer, {
+    this.#deps.grants.request(from, room.wanted, peer.receivedAt);
+    this.#deps.remoteCapacity.update(service.data, peer, {
       granted: room.granted,
-      now: peer.heardAt,
+      now: peer.receivedAt,
     });
   }
 }
@@ -149,8 +149,8 @@
 function parsePeer(
   from: Sender,
   { load }: LoadPart,
-  heardAt: number,
-): HeardPeer | undefined {
+  receivedAt: number,
+): KnownPeer | undefined {
   const instance = InstanceId.safeParse(from.instance);
   const zone = ZoneId.safeParse(from.zone);
   const region = RegionId.safeParse(from.region);
@@ -162,6 +162,6 @@
     peerUrl: from.peerUrl,
     incarnation: from.incarnation,
     load,
-    heardAt,
+    receivedAt,
   };
 }
--- a/src/instance/operations_test.ts
+++ b/src/instance/operations_test.ts
@@ -29,13 +29,13 @@
 
 interface Setup {
   readonly instances: Map<string, Instance>;
-  /** Operation ids in the order in which the endpoint ran them. */
+  /** Operation ids in the order of execution at the endpoint. */
   readonly runs: string[];
   readonly homeOf: (at: string, instance: string) => Promise<string>;
   readonly send: (at: string, id: string, home?: string) => Promise<Answer>;
 }
 
-/** One region of two zones, an instance and an endpoint in each. */
+/** One region of two zones with an instance and an endpoint each. */
 async function makeSetup(t: ExecutionContext): Promise<Setup> {
   const runs: string[] = [];
   const urls = await Promise.all(ZONES.map(() => openEndpoint(t, runs)));
@@ -57,7 +57,7 @@
         instances: { instance: string; home?: string }[];
       };
       const home = found.instances.find((i) => i.instance === instance)?.home;
-      // Until the instances have met, a home names the store.
+      // Until the instances know each other, a home names the store.
       if (home && !home.includes("store")) return home;
       await sleep(clock, 50);
     }
@@ -152,8 +152,8 @@
   return started._unsafeUnwrap();
 }
 
-/** Sends until it ran: instances need some ticks to hold slots and rates. */
-async function held(
+/** Retries until the operation runs; instances need some ticks to get slots and rates. */
+async function sendUntilRun(
   { send, homeOf }: Setup,
   id: string,
 ): Promise<{ home: string; answer: Answer }> {
@@ -166,16 +166,16 @@
 }
 
 /**
- * The instance that ran a hold ends, planned or not, and the caller repeats
- * the hold at an instance of another zone. It must get its answer; a second
- * hold would make the brewer turn others away.
+ * The instance that ran a hold stops, gracefully or not, and the caller repeats
+ * the hold at an instance of another zone. It must get the recorded answer; a
+ * second hold would make the brewer turn other customers away.
  */
 for (const end of ["stop", "close"] as const) {
-  test(`after ${end} of its home a hold is answered and not run again`, async (t) => {
+  test(`after ${end} of its home a repeated hold is answered and not run again`, async (t) => {
     const setup = await makeSetup(t);
-    const { home, answer } = await held(setup, "op");
+    const { home, answer } = await sendUntilRun(setup, "op");
     t.deepEqual([answer.status, answer.text], [200, "held op"]);
-    // The answer reaches its second place right after the caller.
+    // The answer is replicated right after the caller has received it.
     await sleep(clock, 300);
     await setup.instances.get("z1")?.[end]();
     setup.instances.delete("z1");
@@ -185,10 +185,9 @@
   });
 }
 
-/** A hold without a home token, repeated at the other instance. */
-test("a hold without a home runs once wherever it is repeated", async (t) => {
+test("a hold without a home token runs once when repeated at another instance", async (t) => {
   const setup = await makeSetup(t);
-  await held(setup, "first");
+  await sendUntilRun(setup, "first");
   let answers: Answer[] = [];
   do {
     answers = [await setup.send("z1", "op"), await setup.send("z2", "op")];
--- a/src/instance/outcome_log.ts
+++ b/src/instance/outcome_log.ts
@@ -1,6 +1,6 @@
 /**
- * Takes how requests ended from the request path to the burn counts, with the
- * service's own latency objective.
+ * Records request outcomes in the burn counts, with the latency objective of
+ * the service.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import type { OutcomeLog } from "../gateway/mod.ts";
 import type { BurnCounts } from "../slo/mod.ts";
 
-/** Makes the request path's listener. */
+/** Creates the outcome log of the request path. */
 export function outcomeLog(
   { clock, counts, document }: {
     clock: Clock;
--- a/src/instance/platform_contact.ts
+++ b/src/instance/platform_contact.ts
@@ -1,9 +1,9 @@
 /**
- * How long ago this instance could last have learned of a change: when it, or
- * an instance it heard, read the manifest from the platform.
+ * Tracks the age of the last manifest read from the platform, by this instance
+ * or by a peer that reported it.
  *
- * A zone that is cut off cannot learn that a key was withdrawn. Without this
- * measure it would go on taking the key for as long as the cut lasts.
+ * A partitioned zone cannot learn that a key was withdrawn. Without this age it
+ * would accept the key for as long as the partition lasts.
  *
  * @module
  */
@@ -13,24 +13,24 @@
 import type { Batch, Sender } from "../gen/peer_pb.ts";
 import type { PeerSubsystem } from "../peers/mod.ts";
 
-/** Contact with the platform, direct or through peers. */
+/** Time of the last contact with the platform, direct or through peers. */
 export class PlatformContact implements PeerSubsystem {
   readonly #clock: Clock;
-  /** None at first: an instance that starts in a cut-off zone makes it no younger. */
-  #at = -Infinity;
+  /** Starts at none, so that a new instance in a partitioned zone counts as no contact. */
+  #lastContactAt = -Infinity;
 
   constructor(clock: Clock) {
     this.#clock = clock;
   }
 
-  /** The manifest was read by a call that began at `at`. */
-  note(at: number): void {
-    this.#at = Math.max(this.#at, at);
+  /** Records a manifest read whose call started at `at`. */
+  record(at: number): void {
+    this.#lastContactAt = Math.max(this.#lastContactAt, at);
   }
 
-  /** How long there has been no contact, in milliseconds; Infinity if never. */
+  /** Time since the last contact, in milliseconds; Infinity if there was none. */
   ageMs(): number {
-    return this.#clock.now() - this.#at;
+    return this.#clock.now() - this.#lastContactAt;
   }
 
   fill(batch: Batch): void {
@@ -40,12 +40,12 @@
   }
 
   /**
-   * Only an answer counts, from when it was asked for: a message that came
-   * late would make an old contact look new.
+   * Only responses count, dated from their request: a delayed message would
+   * make an old contact look recent.
    */
   receive(batch: Batch, _from: Sender, askedAt?: number): void {
     const age = batch.document?.contactAgeMs;
     if (age === undefined || askedAt === undefined) return;
-    if (age >= 0) this.note(askedAt - age);
+    if (age >= 0) this.record(askedAt - age);
   }
 }
--- a/src/instance/secrecy_test.ts
+++ b/src/instance/secrecy_test.ts
@@ -11,7 +11,7 @@
 
 const MAX_POLLS = 400;
 
-/** Keeps all that is logged and measured. */
+/** Records all log events and metrics. */
 class Recorder implements Log, Metrics {
   readonly lines: string[] = [];
   readonly events: { name: string; fields: LogFields }[] = [];
@@ -48,9 +48,9 @@
   }
 }
 
-test("a key shows in no log, metric or answer, wherever a caller puts it", async (t) => {
+test("a key appears in no log, metric or response, wherever a caller puts it", async (t) => {
   // Callers put keys into paths, ids and headers by mistake. Logs and metrics
-  // are read by many; a key in them is a key given away.
+  // have many readers, so a key in them is leaked.
   const recorder = new Recorder();
   const one = await startOne({ log: recorder, metrics: recorder });
   const { endpoint, instance } = one;
--- a/src/instance/steering.ts
+++ b/src/instance/steering.ts
@@ -1,5 +1,5 @@
 /**
- * Puts the decisions on where work goes together for one instance.
+ * Wires the load-balancing components of one instance together.
  *
  * @module
  */
@@ -36,7 +36,7 @@
 import type { Settings } from "../settings/mod.ts";
 import { LoadExchange } from "./load_exchange.ts";
 
-/** What steering needs. */
+/** Dependencies of {@link Steering}. */
 export interface SteeringDeps {
   readonly cfg: Settings;
   readonly clock: Clock;
@@ -48,43 +48,46 @@
   readonly limits: SlotLimits;
   readonly document: () => SteeringDocument;
   readonly leaving: () => boolean;
-  /** Requests of callers that are being worked on. */
+  /** Callers' requests in flight. */
   readonly running: () => number;
 }
 
-const IDLE_CHECK_MS = 20;
+const IDLE_POLL_MS = 20;
 
-/** The steering parts of one instance, wired to each other. */
+/** The load-balancing components of one instance. */
 export class Steering {
   readonly #deps: SteeringDeps;
   readonly local: FairDispatcher;
   readonly dispatcher: RegionDispatcher;
-  readonly intake: ForwardedAdmission;
+  readonly forwardedAdmission: ForwardedAdmission;
   readonly links: LinkBudgets;
-  readonly exchange: LoadExchange;
+  readonly loadExchange: LoadExchange;
   readonly prober: Prober;
   readonly retries: RetryPolicy;
   readonly entries: EntryChooser;
   readonly drains: DrainTracker;
-  readonly #rooms = new RemoteCapacityTable();
+  readonly #remoteCapacity = new RemoteCapacityTable();
   #drained: DrainSet | undefined;
 
   constructor(deps: SteeringDeps) {
     this.#deps = deps;
     const { zone, region } = deps.cfg.instance;
-    const rooms = this.#rooms;
+    const remoteCapacity = this.#remoteCapacity;
     const grants = new CapacityGrants();
     this.local = new FairDispatcher({ ...deps, zone });
-    this.links = new LinkBudgets({ region, part: (now) => this.#part(now) });
+    this.links = new LinkBudgets({
+      region,
+      part: (now) => this.#heldSeatShare(now),
+    });
     this.dispatcher = new RegionDispatcher({
       ...deps,
       zone,
       region,
       local: this.local,
-      remoteCapacity: rooms,
+      remoteCapacity,
       links: this.links,
     });
-    this.intake = new ForwardedAdmission({
+    this.forwardedAdmission = new ForwardedAdmission({
       region,
       local: this.local,
       grants,
@@ -96,17 +99,17 @@
     this.entries = new EntryChooser(deps.random);
     this.drains = new DrainTracker({
       metrics: deps.metrics,
-      running: (drain) => this.#runningAt(drain),
+      running: (drain) => this.#inFlightAt(drain),
     });
     this.retries = new RetryPolicy(deps.random);
-    this.exchange = new LoadExchange({
+    this.loadExchange = new LoadExchange({
       clock: deps.clock,
       zone,
       region,
       prober: this.prober,
       grants,
-      intake: this.intake,
-      rooms,
+      forwardedAdmission: this.forwardedAdmission,
+      remoteCapacity,
       links: this.links,
       dispatcher: this.dispatcher,
       services: () => Object.keys(deps.document().services) as ServiceId[],
@@ -114,17 +117,17 @@
     });
   }
 
-  /** Whether this instance stops taking work: it leaves or is drained. */
+  /** Whether this instance accepts no more requests: it is leaving or drained. */
   get closed(): boolean {
     return this.#deps.leaving() || this.drained;
   }
 
-  /** Whether the document drains this instance. */
+  /** Whether the document marks this instance as drained. */
   get drained(): boolean {
     return this.#drained?.instance(this.#deps.cfg.instance.id) ?? false;
   }
 
-  /** Slots in use or waited for, against those that may be used. */
+  /** Requests in flight or waiting, divided by the slot capacity. */
   get load(): number {
     const loads = this.local.load(this.#deps.clock.now());
     const busy = loads.reduce((n, l) => n + l.inFlight + l.waiting, 0);
@@ -141,24 +144,24 @@
 
   tick(now: number): void {
     this.dispatcher.tick(now);
-    this.exchange.tick(now);
+    this.loadExchange.tick(now);
     this.prober.tick(now);
     this.drains.tick(now);
     this.#observeLoads(now);
   }
 
-  /** Instances that callers may be sent to, drained ones only if all are. */
-  openEntries(entries: readonly EntryChoice[]): readonly EntryChoice[] {
-    const open = entries.filter(({ instance, zone }) =>
+  /** Entries that are not drained, or all entries if every one is. */
+  eligibleEntries(entries: readonly EntryChoice[]): readonly EntryChoice[] {
+    const undrained = entries.filter(({ instance, zone }) =>
       !this.#drained?.instance(instance) && !this.#drained?.zone(zone)
     );
-    return open.length > 0 ? open : entries;
+    return undrained.length > 0 ? undrained : entries;
   }
 
-  /** Resolves once no request that others forwarded runs here any more. */
-  async forwardsEnded(): Promise<void> {
-    while (this.intake.totalInFlight > 0) {
-      await sleep(this.#deps.clock, IDLE_CHECK_MS);
+  /** Resolves when no forwarded request is in flight here. */
+  async forwardedRequestsEnded(): Promise<void> {
+    while (this.forwardedAdmission.totalInFlight > 0) {
+      await sleep(this.#deps.clock, IDLE_POLL_MS);
     }
   }
 
@@ -166,28 +169,30 @@
     const { roster, cfg } = this.#deps;
     const live = roster.live().map((m) => m.instance);
     for (const id of live) {
-      const load = this.exchange.loadOf(id);
+      const load = this.loadExchange.loadOf(id);
       if (load !== undefined) this.entries.observe(id, load, now);
     }
     this.entries.observe(cfg.instance.id, this.load, now);
     this.entries.retain(new Set([...live, cfg.instance.id]));
   }
 
-  /** Requests from here that run at what a drain names. */
-  #runningAt({ kind, id }: DrainEntry): number {
+  /** Requests from this instance in flight at the target of a drain. */
+  #inFlightAt({ kind, id }: DrainEntry): number {
     const { cfg, running } = this.#deps;
     if (kind === "endpoint") return this.local.inFlight(id);
     if (kind === "instance" && id === cfg.instance.id) {
-      return running() + this.intake.totalInFlight;
+      return running() + this.forwardedAdmission.totalInFlight;
     }
-    const elsewhere = this.#rooms.inFlightWhere((peer) => peer[kind] === id);
+    const elsewhere = this.#remoteCapacity.inFlightWhere((peer) =>
+      peer[kind] === id
+    );
     if (kind === "instance" || cfg.instance[kind] !== id) return elsewhere;
     const rows = this.local.rows();
     return elsewhere + rows.reduce((n, row) => n + row.inFlight, 0);
   }
 
-  /** Part of the region's seats that this instance holds. */
-  #part(now: number): number {
+  /** Fraction of the region's seats that this instance holds. */
+  #heldSeatShare(now: number): number {
     const { seats, cfg, document } = this.#deps;
     const zones = zonesOf(document())
       .filter((z) => z.region === cfg.instance.region);
--- a/src/instance/steering_test.ts
+++ b/src/instance/steering_test.ts
@@ -25,7 +25,7 @@
 const SLOTS = 20;
 const WORK_MS = 50;
 const TICK_MS = 100;
-/** Part of a region's slots that its own callers fill. */
+/** Fraction of a region's slots used by its own callers. */
 const OWN_LOAD = 0.4;
 const HEADROOM = 0.2;
 
@@ -109,8 +109,8 @@
     for (const from of fleet) {
       for (const to of fleet.filter((f) => f !== from)) {
         const batch = create(BatchSchema, { sender: from.sender });
-        from.steering.exchange.fill(batch, to.sender.instance);
-        to.steering.exchange.receive(batch, from.sender);
+        from.steering.loadExchange.fill(batch, to.sender.instance);
+        to.steering.loadExchange.receive(batch, from.sender);
       }
     }
   };
@@ -127,14 +127,14 @@
   longestWaitMs: number;
 }
 
-/** Callers of every region at a steady rate; work takes {@link WORK_MS}. */
+/** Callers in every region at a constant rate; requests take {@link WORK_MS}. */
 class Callers {
   readonly counts = new Map<string, Counts>();
-  mostForwarded = 0;
-  mostRunning = 0;
+  maxForwarded = 0;
+  maxInFlight = 0;
   readonly #setup: Setup;
-  readonly #ends: { at: number; release: () => void }[] = [];
-  #owed = 0;
+  readonly #pendingCompletions: { at: number; release: () => void }[] = [];
+  #dueArrivals = 0;
 
   constructor(setup: Setup) {
     this.#setup = setup;
@@ -145,9 +145,9 @@
     for (let i = 0; i < ms; i++) {
       clock.advance(1);
       const now = clock.now();
-      for (const end of this.#ends.splice(0)) {
+      for (const end of this.#pendingCompletions.splice(0)) {
         if (end.at <= now) end.release();
-        else this.#ends.push(end);
+        else this.#pendingCompletions.push(end);
       }
       if (now % TICK_MS === 0) {
         for (const { steering } of fleet) steering.tick(now);
@@ -159,7 +159,7 @@
     }
   }
 
-  of(region: string): Counts {
+  countsFor(region: string): Counts {
     const known = this.counts.get(region);
     if (known) return known;
     const counts = { served: 0, notRun: 0, longestWaitMs: 0 };
@@ -168,8 +168,8 @@
   }
 
   #arrive(): void {
-    this.#owed += SLOTS * OWN_LOAD / WORK_MS;
-    for (; this.#owed >= 1; this.#owed -= 1) {
+    this.#dueArrivals += SLOTS * OWN_LOAD / WORK_MS;
+    for (; this.#dueArrivals >= 1; this.#dueArrivals -= 1) {
       for (const member of this.#setup.fleet) this.#send(member);
     }
   }
@@ -184,17 +184,17 @@
       deadline: sentAt + 2_000,
     };
     void steering.dispatcher.acquire(req).then((slot) => {
-      const counts = this.of(region);
+      const counts = this.countsFor(region);
       const waited = clock.now() - sentAt;
       counts.longestWaitMs = Math.max(counts.longestWaitMs, waited);
-      const run = slot.isOk() && this.#reach(slot.value, { region, req });
+      const run = slot.isOk() && this.#execute(slot.value, { region, req });
       if (run) counts.served += 1;
       else counts.notRun += 1;
     });
   }
 
-  /** Runs the work here, or beyond the other instance if it takes it. */
-  #reach(slot: Slot, { region, req }: {
+  /** Runs the request here, or at another instance if that admits it. */
+  #execute(slot: Slot, { region, req }: {
     region: string;
     req: Parameters<Member["steering"]["dispatcher"]["acquire"]>[0];
   }): boolean {
@@ -208,7 +208,11 @@
         instance: `i-${region}` as InstanceId,
         region: region as RegionId,
       };
-      const taken = there.steering.intake.admit(req, from, clock.now());
+      const taken = there.steering.forwardedAdmission.admit(
+        req,
+        from,
+        clock.now(),
+      );
       if (taken.isErr()) {
         slot.release("shed", clock.now());
         return false;
@@ -218,56 +222,56 @@
     const release = () => {
       for (const held of releases) held.release("ok", clock.now());
     };
-    this.#ends.push({ at: clock.now() + WORK_MS, release });
+    this.#pendingCompletions.push({ at: clock.now() + WORK_MS, release });
     return true;
   }
 
   #observe(): void {
     const last = this.#setup.fleet[2]!.steering;
     const running = last.local.inFlight("e-r3" as never);
-    this.mostRunning = Math.max(this.mostRunning, running);
-    const forwarded = last.intake.inFlight(SERVICE);
-    this.mostForwarded = Math.max(this.mostForwarded, forwarded);
+    this.maxInFlight = Math.max(this.maxInFlight, running);
+    const forwarded = last.forwardedAdmission.inFlight(SERVICE);
+    this.maxForwarded = Math.max(this.maxForwarded, forwarded);
   }
 }
 
-test("two regions that fail over at once do not overfill the third", async (t) => {
-  // Two of three regions are drained in one edit, and both send their callers'
-  // work to the third, which could take one of them. Its own callers must not
-  // notice, and those it cannot take must hear so at once.
+test("two regions that fail over at once do not overload the third", async (t) => {
+  // Two of three regions are drained in one edit, and both forward requests to
+  // the third, which has capacity for one of them. Its own callers must not be
+  // affected, and requests above its capacity must be refused at once.
   const world = setup();
   const callers = new Callers(world);
   await callers.run(2_000);
-  t.is(callers.of("r3").notRun, 0);
+  t.is(callers.countsFor("r3").notRun, 0);
   world.adopt(["r1", "r2"]);
   await callers.run(15_000);
-  t.true(callers.mostRunning <= SLOTS, `${callers.mostRunning} ran`);
+  t.true(callers.maxInFlight <= SLOTS, `${callers.maxInFlight} in flight`);
   const room = SLOTS * (1 - HEADROOM - OWN_LOAD);
-  t.true(callers.mostForwarded <= room + 2, `${callers.mostForwarded} came`);
-  t.is(callers.of("r3").notRun, 0);
-  t.true(callers.of("r3").longestWaitMs <= WORK_MS);
+  t.true(callers.maxForwarded <= room + 2, `${callers.maxForwarded} forwarded`);
+  t.is(callers.countsFor("r3").notRun, 0);
+  t.true(callers.countsFor("r3").longestWaitMs <= WORK_MS);
   callers.counts.clear();
   await callers.run(5_000);
   for (const region of ["r1", "r2"]) {
-    const { served, notRun, longestWaitMs } = callers.of(region);
+    const { served, notRun, longestWaitMs } = callers.countsFor(region);
     t.true(served / (served + notRun) > 0.3, `${region} ${served} ${notRun}`);
     t.true(longestWaitMs <= 2 * WORK_MS, `${region} waited ${longestWaitMs}`);
   }
 });
 
-test("a drained region's callers are served by the others", async (t) => {
-  // One region of three is drained, and the others have room for all of its
-  // work. Refusals are noticed where the shift waits for caches to warm.
+test("callers of a drained region are served by the other regions", async (t) => {
+  // One region of three is drained, and the others have capacity for all its
+  // requests. If the shift waited for warm caches, requests would be refused.
   const world = setup();
   const callers = new Callers(world);
   await callers.run(2_000);
   world.adopt(["r1"]);
   callers.counts.clear();
   await callers.run(1_000);
-  const first = callers.of("r1");
+  const first = callers.countsFor("r1");
   t.true(first.notRun <= 10, `${first.notRun} refused in the first second`);
   callers.counts.clear();
   await callers.run(5_000);
-  t.is(callers.of("r1").notRun, 0);
-  t.is(callers.of("r2").notRun + callers.of("r3").notRun, 0);
+  t.is(callers.countsFor("r1").notRun, 0);
+  t.is(callers.countsFor("r2").notRun + callers.countsFor("r3").notRun, 0);
 });
--- a/src/instance/stop_sequence.ts
+++ b/src/instance/stop_sequence.ts
@@ -1,78 +1,77 @@
 /**
- * The order in which an instance ends, so that nothing is cut.
+ * Graceful shutdown of an instance that is replaced under load.
  *
- * Pattern it answers: every instance is replaced at any time, under load. What
- * goes wrong with another order: a listener that closes before callers know
- * cuts requests; seats that move before running work and loans have ended fill
- * slots and spend rates twice; an instance that goes without handing over leaves its seats idle for
- * a lease and its operations' answers unknown.
+ * The order matters. A listener that closes before callers know of it cuts
+ * requests. Seats that move before running requests and loans have ended fill
+ * slots and spend rates twice. Without a hand-over, seats stay idle for a lease
+ * and the results of operations are unknown.
  *
  * @module
  */
 import { type Clock, type Log, sleep } from "../core/mod.ts";
 import type { InstanceListeners } from "./instance_listeners.ts";
 
-/** Something that passes on what it holds before the instance ends. */
-export interface Heritage {
+/** A shutdown step that transfers state to other instances. */
+export interface HandOverStep {
   readonly name: string;
-  /** How long it may take, in milliseconds, where that is not the usual. */
-  readonly limitMs?: () => number;
-  /** Comes back when the others have it; nothing of it is used afterwards. */
+  /** Overrides the default time-out of a step, in milliseconds. */
+  readonly timeoutMs?: () => number;
+  /** Resolves when the state is transferred; it is not used here afterwards. */
   handOver(): Promise<unknown>;
 }
 
-/** What a stop needs. */
+/** Dependencies of {@link runStopSequence}. */
 export interface StopDeps {
   readonly clock: Clock;
   readonly log: Log;
   readonly listeners: InstanceListeners;
-  /** Requests that still run here, those that other instances sent included. */
+  /** Requests in flight here, including those forwarded by other instances. */
   readonly running: () => number;
-  /** Tells the platform's list and every peer. */
+  /** Announces the leaving to the platform's list and to every peer. */
   readonly announce: () => Promise<void>;
-  /** Tells every peer what changed last. */
+  /** Sends the last changes to every peer. */
   readonly flush: () => Promise<void>;
-  /** In the order in which they hand over. */
-  readonly heritage: readonly Heritage[];
-  /** How long callers reuse an answer that still names this instance. */
-  readonly noticeMs: number;
+  /** Hand-over steps, in order. */
+  readonly handOverSteps: readonly HandOverStep[];
+  /** How long callers may reuse a look-up answer that names this instance, in milliseconds. */
+  readonly leaveNoticeMs: number;
 }
 
-/** An unreachable platform or peer may hold up a step this long, in milliseconds. */
-const STEP_LIMIT_MS = 5_000;
-/** Longer than any deadline of a document, as a bound for what never ends. */
-const RUNNING_LIMIT_MS = 3_600_000;
-const CHECK_MS = 20;
+/** Bounds a step when the platform or a peer is unreachable. */
+const STEP_TIMEOUT_MS = 5_000;
+/** Longer than any deadline in a document; bounds requests that never end. */
+const DRAIN_TIMEOUT_MS = 3_600_000;
+const POLL_MS = 20;
 
-/** Runs the sequence; afterwards nothing runs here and nobody counts on it. */
-export async function stopInOrder(deps: StopDeps): Promise<void> {
+/** Drains the instance and hands over its state; it can be closed afterwards. */
+export async function runStopSequence(deps: StopDeps): Promise<void> {
   const { clock, listeners } = deps;
-  const notice = sleep(clock, deps.noticeMs);
+  const notice = sleep(clock, deps.leaveNoticeMs);
   listeners.leave();
-  await step(deps, "announce", deps.announce);
+  await runStep(deps, "announce", deps.announce);
   await notice;
   await listeners.drain();
-  await idle(deps);
-  for (const heritage of deps.heritage) {
-    const limitMs = heritage.limitMs?.() ?? STEP_LIMIT_MS;
-    await step(deps, heritage.name, () => heritage.handOver(), limitMs);
+  await waitUntilIdle(deps);
+  for (const step of deps.handOverSteps) {
+    const timeoutMs = step.timeoutMs?.() ?? STEP_TIMEOUT_MS;
+    await runStep(deps, step.name, () => step.handOver(), timeoutMs);
   }
-  await step(deps, "flush", deps.flush);
+  await runStep(deps, "flush", deps.flush);
 }
 
-async function idle({ clock, running }: StopDeps): Promise<void> {
-  const limit = clock.now() + RUNNING_LIMIT_MS;
-  while (running() > 0 && clock.now() < limit) await sleep(clock, CHECK_MS);
+async function waitUntilIdle({ clock, running }: StopDeps): Promise<void> {
+  const deadline = clock.now() + DRAIN_TIMEOUT_MS;
+  while (running() > 0 && clock.now() < deadline) await sleep(clock, POLL_MS);
 }
 
-async function step(
+async function runStep(
   { clock, log }: StopDeps,
   name: string,
   run: () => Promise<unknown>,
-  limitMs = STEP_LIMIT_MS,
+  timeoutMs = STEP_TIMEOUT_MS,
 ): Promise<void> {
   const done = await new Promise<boolean>((resolve) => {
-    const timer = clock.after(limitMs, () => resolve(false));
+    const timer = clock.after(timeoutMs, () => resolve(false));
     const end = (ok: boolean) => {
       timer.close();
       resolve(ok);
--- a/src/instance/stop_test.ts
+++ b/src/instance/stop_test.ts
@@ -6,24 +6,24 @@
 
 const WORK_MS = 20;
 const CALLERS = 6;
-/** Few enough to end within the notice, also on a busy machine. */
+/** Few enough to end within the leave notice, also on a loaded machine. */
 const LEAVING_CALLS = 10;
 const PAUSE_MS = 10;
 const LONG_DEADLINE_MS = 5_000;
-/** How often an operator looks whether a replacement can be relied on. */
-const LOOK_MS = 50;
+/** How often an operator polls whether a replacement is settled. */
+const STATUS_POLL_MS = 50;
 
 function pause(ms: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-/** A seat that changed hands rests; operators wait before the next stop. */
-async function settled(replacement: Instance): Promise<void> {
-  while (!replacement.status().settled) await pause(LOOK_MS);
+/** Waits as operators do: a seat that changed hands is vacant for a while. */
+async function waitUntilSettled(replacement: Instance): Promise<void> {
+  while (!replacement.status().settled) await pause(STATUS_POLL_MS);
 }
 
-/** Calls without a break until told to end; keeps what was not answered. */
-class Load {
+/** Sends requests until ended and records the failures. */
+class LoadGenerator {
   readonly failures: string[] = [];
   readonly operations: string[] = [];
   answered = 0;
@@ -61,12 +61,11 @@
   }
 }
 
-test("replacing every instance under load loses nothing", async (t) => {
-  // Operators roll out a new version: each instance gets SIGTERM once its
-  // replacement runs. Callers in the middle of a request, and callers that are
-  // about to reuse a connection, must not notice.
-  // The seat of the first rests longer than both stops take, so that an
-  // operator who did not wait for it would leave the zone without a slot.
+test("replacing every instance under load loses no request", async (t) => {
+  // In a rolling update each instance stops once its replacement runs. Requests
+  // in flight and requests on reused connections must not fail. The first seat
+  // stays vacant longer than both stops take, so that an operator who did not
+  // wait for it would leave the zone without a slot.
   const fleet = await LocalFleet.open({
     endpoints: 3,
     seats: 2,
@@ -77,13 +76,13 @@
   const first = await fleet.start("i1");
   const second = await fleet.start("i2");
   await pause(1_500);
-  const load = new Load();
+  const load = new LoadGenerator();
   t.teardown(() => load.end());
   load.start(first.callerUrl);
   await pause(500);
   const third = await fleet.start("i3");
   await first.stop();
-  await settled(third);
+  await waitUntilSettled(third);
   await fleet.start("i4");
   await second.stop();
   await pause(500);
@@ -95,9 +94,9 @@
   t.true(runs.every((n) => n === 1));
 });
 
-test("a kept connection is not cut while its instance leaves", async (t) => {
-  // A caller without the library keeps one connection and sends on it now and
-  // then. Its answers tell it to close; none of its requests is cut.
+test("a keep-alive connection is not cut while its instance leaves", async (t) => {
+  // A caller without the library sends occasional requests on one connection.
+  // Responses carry `connection: close`; no request is cut.
   const fleet = await LocalFleet.open({ endpoints: 1, seats: 1, workMs: 5 });
   t.teardown(() => fleet.close());
   const instance = await fleet.start("i1");
--- a/src/instance/testing/any_message.ts
+++ b/src/instance/testing/arbitrary_message.ts
@@ -1,5 +1,5 @@
 /**
- * Arbitrary messages of any schema, for tests with hostile peers.
+ * Arbitrary messages of any schema, for tests against malicious peers.
  *
  * @module
  */
@@ -15,8 +15,8 @@
 const MAX_DEPTH = 4;
 const NAMES = ["", "i1", "gulf-a", "gulf", "mapview", "a1", "constructor"];
 
-/** Messages whose fields hold anything that their types allow. */
-export function anyMessage(
+/** Messages whose fields hold any value of their type. */
+export function arbitraryMessage(
   schema: DescMessage,
   depth = 0,
 ): fc.Arbitrary<Message> {
@@ -24,7 +24,7 @@
     field,
   ) => [
     field.localName,
-    fc.option(anyField(field, depth), { nil: undefined }),
+    fc.option(arbitraryField(field, depth), { nil: undefined }),
   ]);
   return fc.record(Object.fromEntries(fields)).map((init) => {
     const given = Object.entries(init).filter(([, v]) => v !== undefined);
@@ -32,35 +32,42 @@
   });
 }
 
-function anyField(field: DescField, depth: number): fc.Arbitrary<unknown> {
+function arbitraryField(
+  field: DescField,
+  depth: number,
+): fc.Arbitrary<unknown> {
   switch (field.fieldKind) {
     case "scalar":
-      return anyScalar(field.scalar);
+      return arbitraryScalar(field.scalar);
     case "enum":
       return fc.integer({ min: 0, max: 5 });
     case "message":
       return depth < MAX_DEPTH
-        ? anyMessage(field.message, depth + 1)
+        ? arbitraryMessage(field.message, depth + 1)
         : fc.constant(undefined);
     case "list":
       return fc.array(
         field.listKind === "message"
-          ? anyMessage(field.message, depth + 1)
-          : anyScalar(field.listKind === "scalar" ? field.scalar : undefined),
+          ? arbitraryMessage(field.message, depth + 1)
+          : arbitraryScalar(
+            field.listKind === "scalar" ? field.scalar : undefined,
+          ),
         { maxLength: 5 },
       );
     case "map":
       return fc.dictionary(
         fc.string({ maxLength: 20 }),
         field.mapKind === "message"
-          ? anyMessage(field.message, depth + 1)
-          : anyScalar(field.mapKind === "scalar" ? field.scalar : undefined),
+          ? arbitraryMessage(field.message, depth + 1)
+          : arbitraryScalar(
+            field.mapKind === "scalar" ? field.scalar : undefined,
+          ),
         { maxKeys: 5 },
       );
   }
 }
 
-function anyScalar(type: ScalarType | undefined): fc.Arbitrary<unknown> {
+function arbitraryScalar(type: ScalarType | undefined): fc.Arbitrary<unknown> {
   switch (type) {
     case ScalarType.STRING:
       return fc.oneof(fc.string({ maxLength: 100 }), fc.constantFrom(...NAMES));
--- a/src/instance/testing/budget_fleet.ts
+++ b/src/instance/testing/budget_fleet.ts
@@ -1,7 +1,7 @@
 /**
- * Several instances' budgets on one virtual time line, with a network that
- * drops, delays, repeats, reorders and cuts, and a check after every event
- * that no sum of parts passes its total.
+ * Budgets of several simulated instances in virtual time, over a network that
+ * drops, delays, duplicates and reorders messages and partitions zones. After
+ * every event it checks that no sum of shares exceeds its total.
  *
  * @module
  */
@@ -50,42 +50,42 @@
 import { FakeSeats, SeatTable } from "./fake_seats.ts";
 import { ProcessClock, VirtualTime } from "./virtual_time.ts";
 
-/** What goes wrong between instances. */
+/** Network faults between instances. */
 export interface Faults {
   drop: number;
   repeat: number;
-  /** One way, in milliseconds; each message draws its own delay. */
+  /** One-way delay, in milliseconds; drawn for each message. */
   minDelayMs: number;
   maxDelayMs: number;
 }
 
-/** The division and the figures of one generation of the document. */
-export interface FleetFigures {
+/** Zones, rates and slots of one generation of the document. */
+export interface FleetSpec {
   readonly zones: Readonly<Record<string, number>>;
   readonly rates: Readonly<
     Record<string, { rate_per_s: number; burst: number }>
   >;
-  /** Slots of the one endpoint that each zone has. */
+  /** Slots of each zone's only endpoint. */
   readonly slots: number;
   readonly deadlineMs: number;
 }
 
-/** Seats as a process of the fleet has them. */
+/** The seats component of a process. */
 export type FleetSeats =
   & SeatDirectory
   & Partial<PeerSubsystem>
   & { run(now: number): void };
 
-/** How a fleet is made. */
+/** Options of {@link BudgetFleet}. */
 export interface FleetOptions {
   readonly faults?: Partial<Faults>;
-  /** Seats as the product leases them, instead of quicker fakes. */
+  /** Whether to use the real leased seats instead of the faster fakes. */
   readonly leased?: boolean;
-  /** Time on the way, in milliseconds, in place of the faults' range. */
+  /** One-way delay, in milliseconds, instead of the faults' range. */
   readonly delayMs?: (fromZone: string, toZone: string) => number;
 }
 
-/** One process. */
+/** One simulated process. */
 export interface FleetNode {
   readonly instance: string;
   readonly zone: string;
@@ -94,19 +94,18 @@
   readonly seats: FleetSeats;
   readonly platform: FaultyPlatform;
   readonly budgets: FleetBudgets;
-  readonly heardAt: Map<string, number>;
+  readonly lastBatchAt: Map<string, number>;
   inFlight: number;
-  /** Requests that found no slot since the last tick. */
+  /** Requests without a free slot since the last tick. */
   wanted: number;
   generation: number;
 }
 
 const TICK_MS = 100;
-const SILENT_MS = 2_000;
+const PEER_TIMEOUT_MS = 2_000;
 const CALL_TIMEOUT_MS = 150;
 const MAX_DRIFT = 0.008;
 
-/** A fleet under test. */
 export class BudgetFleet {
   readonly time = new VirtualTime();
   readonly random: Random;
@@ -114,19 +113,19 @@
   readonly table = new SeatTable();
   readonly nodes: FleetNode[] = [];
   readonly admitted: { account: string; at: number }[] = [];
-  /** How often all sums were checked. */
+  /** Number of checks of all sums. */
   checks = 0;
   readonly #opts: FleetOptions;
   readonly #store: MemoryPlatform;
   readonly #running = new Map<string, number>();
-  readonly #cut = new Set<string>();
+  readonly #isolatedZones = new Set<string>();
   readonly #generations: {
     document: SteeringDocument;
-    figures: FleetFigures;
+    spec: FleetSpec;
   }[];
-  #lives = 0;
+  #startedCount = 0;
 
-  constructor(seed: number, figures: FleetFigures, opts: FleetOptions = {}) {
+  constructor(seed: number, spec: FleetSpec, opts: FleetOptions = {}) {
     this.#opts = opts;
     this.#store = new MemoryPlatform(new ProcessClock(this.time));
     this.random = new SeededRandom(seed);
@@ -137,15 +136,15 @@
       maxDelayMs: 15,
       ...opts.faults,
     };
-    this.#generations = [{ figures, document: documentOf(figures) }];
-    for (const [zone, seats] of Object.entries(figures.zones)) {
-      this.table.ensure(zone, seats);
+    this.#generations = [{ spec, document: documentOf(spec) }];
+    for (const [zone, seats] of Object.entries(spec.zones)) {
+      this.table.ensureSeats(zone, seats);
       for (let i = 1; i <= seats; i++) this.start(`${zone}-${i}`, zone);
     }
   }
 
-  get figures(): FleetFigures {
-    return this.#generations[this.#generations.length - 1]!.figures;
+  get spec(): FleetSpec {
+    return this.#generations[this.#generations.length - 1]!.spec;
   }
 
   /** The newest document. */
@@ -157,10 +156,10 @@
     return this.nodes.filter((n) => !n.clock.dead);
   }
 
-  /** Starts a process; one of the same name is a new life of it. */
+  /** Starts a process; one of the same name is replaced by a new incarnation. */
   start(instance: string, zone: string): FleetNode {
     this.kill(instance);
-    const incarnation = `life-${++this.#lives}`;
+    const incarnation = `life-${++this.#startedCount}`;
     const clock = new ProcessClock(this.time, {
       speed: 1 + (this.random.next() * 2 - 1) * MAX_DRIFT,
       offset: this.random.next() * 10_000,
@@ -169,7 +168,7 @@
     const platform = new FaultyPlatform(this.#store, clock, this.random);
     const seats = this.#seatsFor(sender, clock, {
       platform,
-      figures: () => this.#generations[node.generation - 1]?.figures,
+      spec: () => this.#generations[node.generation - 1]?.spec,
     });
     const node: FleetNode = {
       instance,
@@ -178,7 +177,7 @@
       sender,
       seats,
       platform,
-      heardAt: new Map(),
+      lastBatchAt: new Map(),
       inFlight: 0,
       wanted: 0,
       generation: 0,
@@ -210,18 +209,18 @@
     node.clock.pausedUntil = this.time.now + ms;
   }
 
-  /** Cuts a zone off from all others, or joins it again. */
+  /** Partitions a zone from all others, or heals the partition. */
   cut(zone: string, off: boolean): void {
-    if (off) this.#cut.add(zone);
-    else this.#cut.delete(zone);
+    if (off) this.#isolatedZones.add(zone);
+    else this.#isolatedZones.delete(zone);
   }
 
-  /** A new document, which each process takes over when it hears of it. */
-  change(figures: FleetFigures, maxLagMs: number): void {
-    this.#generations.push({ figures, document: documentOf(figures) });
+  /** Publishes a new document, which each process adopts after a random lag. */
+  change(spec: FleetSpec, maxLagMs: number): void {
+    this.#generations.push({ spec, document: documentOf(spec) });
     const generation = this.#generations.length;
-    for (const [zone, seats] of Object.entries(figures.zones)) {
-      this.table.ensure(zone, seats);
+    for (const [zone, seats] of Object.entries(spec.zones)) {
+      this.table.ensureSeats(zone, seats);
     }
     for (const node of this.live()) {
       const lag = this.random.next() * maxLagMs;
@@ -229,7 +228,7 @@
     }
   }
 
-  /** One request of an account; `undefined` while the process is paused. */
+  /** Sends one request of an account; `undefined` while the process is paused or dead. */
   request(
     node: FleetNode,
     account: string,
@@ -244,7 +243,7 @@
       });
   }
 
-  /** Runs one request at the zone's endpoint if there is a slot for it. */
+  /** Runs one request at the zone's endpoint if a slot is free. */
   work(node: FleetNode, ms: number): boolean {
     const { clock } = node;
     if (clock.paused || clock.dead) return false;
@@ -256,59 +255,62 @@
     }
     node.inFlight += 1;
     this.#running.set(node.zone, this.running(node.zone) + 1);
-    this.time.after(Math.min(ms, this.figures.deadlineMs), () => {
+    this.time.after(Math.min(ms, this.spec.deadlineMs), () => {
       this.#running.set(node.zone, this.running(node.zone) - 1);
       clock.whenRunning(() => node.inFlight -= 1);
     });
     return true;
   }
 
-  /** Requests that a zone's endpoint has at this moment, whoever sent them. */
+  /** Requests in flight at a zone's endpoint, from all processes. */
   running(zone: string): number {
     return this.#running.get(zone) ?? 0;
   }
 
-  /** Moves time on; after every event all sums are checked. */
+  /** Advances time and checks all sums after every event. */
   async advance(ms: number): Promise<void> {
     await this.time.advance(ms, () => this.check());
   }
 
   /**
-   * Admissions above what one bucket for all processes would let pass. Its
-   * rate is what clocks that run fast by the drift make of it.
+   * Number of admissions that one bucket shared by all processes would refuse.
+   * Its rate is raised by the maximum clock drift.
    */
   overRate(account: string): number {
-    const { rate_per_s, burst } = this.figures.rates[account]!;
+    const { rate_per_s, burst } = this.spec.rates[account]!;
     const ratePerS = rate_per_s * (1 + MAX_DRIFT);
     const bucket = new TokenBucket({ ratePerS, burst }, 0, burst);
     return this.admitted.filter((a) => a.account === account)
       .filter(({ at }) => !bucket.take(at, 1 - EPSILON)).length;
   }
 
-  /** Asserts that no sum over all processes passes its total. */
+  /** Asserts that no sum over all processes exceeds its total. */
   check(): void {
     this.checks += 1;
-    for (const account of Object.keys(this.figures.rates)) {
+    for (const account of Object.keys(this.spec.rates)) {
       this.#checkRate(account);
     }
-    for (const zone of Object.keys(this.figures.zones)) this.#checkSlots(zone);
+    for (const zone of Object.keys(this.spec.zones)) this.#checkSlots(zone);
   }
 
   #checkRate(account: string): void {
     const burst = Math.max(
-      ...this.#generations.map((g) => g.figures.rates[account]?.burst ?? 0),
+      ...this.#generations.map((g) => g.spec.rates[account]?.burst ?? 0),
     );
-    let parts = 0;
+    let shares = 0;
     let room = 0;
     let tokens = 0;
     for (const { clock, budgets } of this.live()) {
       const spendable = budgets.spendable(account as AccountId, clock.now());
-      parts += spendable.fraction;
+      shares += spendable.fraction;
       room += spendable.room;
       tokens += spendable.tokens;
     }
-    invariant(parts <= 1 + EPSILON * 100, `${account}: parts of ${parts}`);
-    invariant(room <= 1 + EPSILON * 100, `${account}: room of ${room}`);
+    invariant(
+      shares <= 1 + EPSILON * 100,
+      `${account}: shares add up to ${shares}`,
+    );
+    invariant(room <= 1 + EPSILON * 100, `${account}: room adds up to ${room}`);
     invariant(
       tokens <= burst + EPSILON * 1_000,
       `${account}: ${tokens} tokens, more than the burst of ${burst}`,
@@ -317,7 +319,9 @@
 
   #checkSlots(zone: string): void {
     const endpoint = endpointOf(zone);
-    const slots = Math.max(...this.#generations.map((g) => g.figures.slots));
+    const slots = Math.max(
+      ...this.#generations.map((g) => g.spec.slots),
+    );
     const limits = this.live()
       .filter((n) => n.zone === zone)
       .reduce(
@@ -325,20 +329,23 @@
           n + budgets.slotLimits.limit(endpoint, clock.now()),
         0,
       );
-    invariant(limits <= slots, `${endpoint}: limits of ${limits} of ${slots}`);
+    invariant(
+      limits <= slots,
+      `${endpoint}: limits add up to ${limits}, more than ${slots} slots`,
+    );
     const running = this.running(zone);
     invariant(
       running <= slots,
-      `${endpoint}: ${running} run in ${slots} slots`,
+      `${endpoint}: ${running} requests in flight in ${slots} slots`,
     );
   }
 
   #seatsFor(
     { instance, zone, incarnation }: Sender,
     clock: ProcessClock,
-    { platform, figures }: {
+    { platform, spec }: {
       platform: FaultyPlatform;
-      figures: () => FleetFigures | undefined;
+      spec: () => FleetSpec | undefined;
     },
   ): FleetSeats {
     if (this.#opts.leased) {
@@ -350,7 +357,7 @@
         platform,
         log: new SilentLog(),
         metrics: new MemoryMetrics(),
-        document: () => this.#documentOf(figures()),
+        document: () => this.#documentOf(spec()),
       });
     }
     return new FakeSeats({
@@ -359,13 +366,13 @@
       instance,
       incarnation,
       zone,
-      restMs: maxInFlightMs(this.#generations[0]!.document),
-      seats: () => figures()?.zones[zone] ?? 0,
+      seatVacancyMs: maxInFlightMs(this.#generations[0]!.document),
+      seats: () => spec()?.zones[zone] ?? 0,
     });
   }
 
-  #documentOf(figures: FleetFigures | undefined): SteeringDocument {
-    const found = this.#generations.find((g) => g.figures === figures);
+  #documentOf(spec: FleetSpec | undefined): SteeringDocument {
+    const found = this.#generations.find((g) => g.spec === spec);
     return found?.document ?? emptyDocument();
   }
 
@@ -407,7 +414,7 @@
   }
 
   #absorb(node: FleetNode, from: FleetNode, batch: Batch): void {
-    node.heardAt.set(from.instance, node.clock.now());
+    node.lastBatchAt.set(from.instance, node.clock.now());
     const copy = clone(BatchSchema, batch);
     node.seats.receive?.(copy, from.sender);
     node.budgets.receive(copy, from.sender);
@@ -449,13 +456,14 @@
 
   #reaches(from: FleetNode, to: FleetNode): boolean {
     if (from.zone === to.zone) return true;
-    return !this.#cut.has(from.zone) && !this.#cut.has(to.zone);
+    return !this.#isolatedZones.has(from.zone) &&
+      !this.#isolatedZones.has(to.zone);
   }
 
   #peersOf(node: FleetNode): ReachablePeer[] {
-    const oldest = node.clock.now() - SILENT_MS;
-    const heard = [...node.heardAt].filter(([, at]) => at >= oldest);
-    return heard.flatMap(([instance]) => {
+    const oldest = node.clock.now() - PEER_TIMEOUT_MS;
+    const recent = [...node.lastBatchAt].filter(([, at]) => at >= oldest);
+    return recent.flatMap(([instance]) => {
       const peer = this.nodes.findLast((n) => n.instance === instance);
       if (peer === undefined) return [];
       const { zone } = peer;
@@ -469,14 +477,14 @@
   return `endpoint-${zone}` as EndpointId;
 }
 
-function documentOf(figures: FleetFigures): SteeringDocument {
-  const accounts = Object.keys(figures.rates);
-  const zones = Object.entries(figures.zones);
+function documentOf(spec: FleetSpec): SteeringDocument {
+  const accounts = Object.keys(spec.rates);
+  const zones = Object.entries(spec.zones);
   return parseDocument({
     accounts: {
       accounts: Object.fromEntries(accounts.map((id) => [id, { keys: [] }])),
     },
-    rates: { rates: figures.rates },
+    rates: { rates: spec.rates },
     regions: {
       regions: Object.fromEntries(zones.map(([zone, instances]) => [
         zone,
@@ -486,13 +494,13 @@
     services: {
       services: {
         service: {
-          deadline_ms: figures.deadlineMs,
+          deadline_ms: spec.deadlineMs,
           endpoints: Object.fromEntries(zones.map(([zone]) => [
             endpointOf(zone),
             {
               zone,
               url: "http://127.0.0.1:1",
-              slots: figures.slots,
+              slots: spec.slots,
               connections: 100,
             },
           ])),
--- a/src/instance/testing/budget_ops.ts
+++ b/src/instance/testing/budget_ops.ts
@@ -1,15 +1,14 @@
 /**
- * Random histories of a fleet: what happens to it, as data that fast-check
- * draws and shrinks.
+ * Random sequences of fleet operations, as data that fast-check can shrink.
  *
  * @module
  */
 import fc from "fast-check";
 import { invariant } from "../../decisions/budgets/mod.ts";
-import { BudgetFleet, type FleetFigures } from "./budget_fleet.ts";
+import { BudgetFleet, type FleetSpec } from "./budget_fleet.ts";
 import { FakeSeats } from "./fake_seats.ts";
 
-/** One thing that happens. */
+/** One operation on the fleet. */
 export type FleetOp =
   | { readonly kind: "wait"; readonly ms: number }
   | {
@@ -33,8 +32,8 @@
   }
   | { readonly kind: "seats"; readonly zone: string; readonly seats: number };
 
-/** Two zones of two, a large and a very small burst, a few slots. */
-export const FIGURES: FleetFigures = {
+/** Two zones of two instances, a large and a very small burst, a few slots. */
+export const FLEET_SPEC: FleetSpec = {
   zones: { a: 2, b: 2 },
   rates: {
     large: { rate_per_s: 100, burst: 40 },
@@ -45,12 +44,12 @@
 };
 
 const NODES = 4;
-const MOST_OPS = 40;
+const MAX_OPS = 40;
 const STEP_MS = 20;
-/** Of the deadline, so that work often outlasts the lease of its slot. */
-const SHORTEST_WORK = 0.3;
+/** Fraction of the deadline; long enough that work often outlasts the lease of its slot. */
+const MIN_WORK_FRACTION = 0.3;
 
-/** Draws histories. */
+/** Arbitrary sequences of operations. */
 export function fleetOps(): fc.Arbitrary<FleetOp[]> {
   const node = fc.integer({ min: 0, max: NODES - 1 });
   const zone = fc.constantFrom("a", "b");
@@ -111,22 +110,22 @@
       seats: fc.integer({ min: 1, max: 3 }),
     }),
   );
-  return fc.array(op, { minLength: 5, maxLength: MOST_OPS });
+  return fc.array(op, { minLength: 5, maxLength: MAX_OPS });
 }
 
-/** Plays a history; throws where a sum of parts passes its total. */
+/** Applies the operations; throws if a sum of shares exceeds its total. */
 export async function runFleetOps(
   seed: number,
   ops: readonly FleetOp[],
 ): Promise<BudgetFleet> {
-  const fleet = new BudgetFleet(seed, FIGURES);
+  const fleet = new BudgetFleet(seed, FLEET_SPEC);
   await fleet.advance(500);
   for (const op of ops) {
     apply(fleet, op);
     await fleet.advance(op.kind === "wait" ? op.ms : STEP_MS);
   }
   await fleet.advance(1_500);
-  for (const account of Object.keys(FIGURES.rates)) {
+  for (const account of Object.keys(FLEET_SPEC.rates)) {
     const over = fleet.overRate(account);
     invariant(over === 0, `${account}: ${over} admitted above its rate`);
   }
@@ -177,7 +176,7 @@
 ): void {
   const node = nodeOf(fleet, op.node);
   for (let i = 0; i < op.count; i++) {
-    void fleet.request(node, op.account, FIGURES.deadlineMs);
+    void fleet.request(node, op.account, FLEET_SPEC.deadlineMs);
   }
 }
 
@@ -187,8 +186,9 @@
 ): void {
   const node = nodeOf(fleet, op.node);
   for (let i = 0; i < op.count; i++) {
-    const part = SHORTEST_WORK + (1 - SHORTEST_WORK) * fleet.random.next();
-    fleet.work(node, part * FIGURES.deadlineMs);
+    const fraction = MIN_WORK_FRACTION +
+      (1 - MIN_WORK_FRACTION) * fleet.random.next();
+    fleet.work(node, fraction * FLEET_SPEC.deadlineMs);
   }
 }
 
@@ -204,6 +204,6 @@
   fleet: BudgetFleet,
   op: Extract<FleetOp, { kind: "seats" }>,
 ): void {
-  const zones = { ...fleet.figures.zones, [op.zone]: op.seats };
-  fleet.change({ ...fleet.figures, zones }, 1_500);
+  const zones = { ...fleet.spec.zones, [op.zone]: op.seats };
+  fleet.change({ ...fleet.spec, zones }, 1_500);
 }
--- a/src/instance/testing/certificates.ts
+++ b/src/instance/testing/certificates.ts
@@ -3,10 +3,10 @@
  *
  * @module
  */
-import type { TlsPair } from "../tls_files.ts";
+import type { TlsCredentials } from "../tls_files.ts";
 
 /** Certificate "one". */
-export const CERTIFICATE_ONE: TlsPair = {
+export const CERTIFICATE_ONE: TlsCredentials = {
   cert: `-----BEGIN CERTIFICATE-----
 MIIBhDCCASqgAwIBAgIUTDT/Xr91iHGW/ePuff2lfZAX+NAwCgYIKoZIzj0EAwIw
 DjEMMAoGA1UEAwwDb25lMCAXDTI2MTIwMzAwMDMxN1oYDzIxMjYxMTA5MDAwMzE3
@@ -28,7 +28,7 @@
 };
 
 /** Certificate "two". */
-export const CERTIFICATE_TWO: TlsPair = {
+export const CERTIFICATE_TWO: TlsCredentials = {
   cert: `-----BEGIN CERTIFICATE-----
 MIIBhTCCASqgAwIBAgIUPeS5kFrzGgLmF09J10TLUPK1974wCgYIKoZIzj0EAwIw
 DjEMMAoGA1UEAwwDdHdvMCAXDTI2MTIwMzAwMDMxN1oYDzIxMjYxMTA5MDAwMzE3
--- a/src/instance/testing/counting_endpoint.ts
+++ b/src/instance/testing/counting_endpoint.ts
@@ -1,5 +1,5 @@
 /**
- * An endpoint that counts how often each operation ran.
+ * A test endpoint that counts how often each operation was executed.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 } from "node:http";
 import type { AddressInfo } from "node:net";
 
-/** One endpoint on loopback. */
+/** A test endpoint on a loopback socket. */
 export class CountingEndpoint {
   readonly runs: Map<string, number> = new Map();
   readonly #server: Server;
--- a/src/instance/testing/fake_seats.ts
+++ b/src/instance/testing/fake_seats.ts
@@ -1,7 +1,7 @@
 /**
- * Seats kept in one shared table, for tests of what is divided over them:
- * leases on the holder's clock, take-over after a silence, hand-over after a
- * rest, and a store that can be down.
+ * Fake seats in one shared table, for tests of the budgets divided by them:
+ * leases on the holder's clock, take-over after expiry, hand-over after a
+ * vacancy, and a store that can be down.
  *
  * @module
  */
@@ -25,13 +25,13 @@
 const LEASE_MS = 2_000;
 const MARGIN_MS = 400;
 
-/** The table that all processes share. */
+/** The table shared by all processes. */
 export class SeatTable {
   readonly rows: SeatRow[] = [];
   down = false;
 
-  /** Makes sure that the zone has so many seats; never takes one away. */
-  ensure(zone: string, seats: number): void {
+  /** Adds seats until the zone has this many; never removes one. */
+  ensureSeats(zone: string, seats: number): void {
     for (let index = 0; index < seats; index++) {
       if (this.rows.some((r) => r.zone === zone && r.index === index)) continue;
       this.rows.push({
@@ -46,15 +46,15 @@
   }
 }
 
-/** What one process's view needs. */
+/** Dependencies of {@link FakeSeats}. */
 export interface FakeSeatsDeps {
   readonly table: SeatTable;
   readonly clock: ProcessClock;
   readonly instance: string;
   readonly incarnation: string;
   readonly zone: string;
-  /** How long work and loans of a former holder may last, in milliseconds. */
-  readonly restMs: number;
+  /** How long requests and loans of a former holder may last, in milliseconds. */
+  readonly seatVacancyMs: number;
   readonly seats: () => number;
 }
 
@@ -63,7 +63,7 @@
   readonly #deps: FakeSeatsDeps;
   readonly #until = new Map<SeatRow, number>();
   readonly #seen = new Map<SeatRow, { renewals: number; at: number }>();
-  readonly #giving = new Set<SeatRow>();
+  readonly #handingOver = new Set<SeatRow>();
 
   constructor(deps: FakeSeatsDeps) {
     this.#deps = deps;
@@ -72,7 +72,7 @@
   held(now: number): HeldSeat[] {
     return this.#own().flatMap((row) => {
       const until = this.#until.get(row) ?? -Infinity;
-      if (now >= until || this.#giving.has(row)) return [];
+      if (now >= until || this.#handingOver.has(row)) return [];
       const { index, epoch } = row;
       return [{ zone: row.zone as ZoneId, index, epoch, part: 1, until }];
     });
@@ -86,7 +86,7 @@
     }));
   }
 
-  /** Renews own seats and takes over silent ones; once a tick. */
+  /** Renews own seats and takes over expired ones; called once per tick. */
   run(_now: number): void {
     const { table, zone, clock } = this.#deps;
     if (table.down) return;
@@ -98,14 +98,14 @@
     }
   }
 
-  /** Stops using a seat and gives it to another instance after the rest. */
+  /** Stops using a seat and assigns it to another instance after the vacancy. */
   handOver(to: { instance: string; incarnation: string }): void {
-    const row = this.#own().find((r) => !this.#giving.has(r));
+    const row = this.#own().find((r) => !this.#handingOver.has(r));
     if (row === undefined) return;
-    this.#giving.add(row);
-    const { restMs, clock, table } = this.#deps;
-    clock.after(restMs, () => {
-      this.#giving.delete(row);
+    this.#handingOver.add(row);
+    const { seatVacancyMs, clock, table } = this.#deps;
+    clock.after(seatVacancyMs, () => {
+      this.#handingOver.delete(row);
       if (table.down || !this.#isOwn(row)) return;
       assign(row, to.instance, to.incarnation);
     });
@@ -131,11 +131,11 @@
       this.#seen.set(row, { renewals: row.renewals, at: now });
       if (row.holder !== "") return;
     }
-    const { restMs } = this.#deps;
-    const silentMs = now - (this.#seen.get(row)?.at ?? now);
+    const { seatVacancyMs } = this.#deps;
+    const sinceRenewalMs = now - (this.#seen.get(row)?.at ?? now);
     const free = row.holder === "";
-    if (free && this.#own().length > 0 && silentMs < LEASE_MS) return;
-    if (!free && silentMs < LEASE_MS + MARGIN_MS + restMs) return;
+    if (free && this.#own().length > 0 && sinceRenewalMs < LEASE_MS) return;
+    if (!free && sinceRenewalMs < LEASE_MS + MARGIN_MS + seatVacancyMs) return;
     assign(row, this.#deps.instance, this.#deps.incarnation);
     this.#renew(row, now);
   }
--- a/src/instance/testing/local_fleet.ts
+++ b/src/instance/testing/local_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Real instances on loopback sockets in one process, over a platform in
- * memory, with endpoints that count what reaches them.
+ * Real instances on loopback sockets in one process, with an in-memory platform
+ * and endpoints that count executed operations.
  *
  * @module
  */
@@ -19,26 +19,26 @@
 import { Instance } from "../instance.ts";
 import { CountingEndpoint } from "./counting_endpoint.ts";
 
-/** The key of the fleet's one account. */
+/** API key of the fleet's only account. */
 export const FLEET_KEY = "test-key";
 const TICK_MS = 20;
 const SLOTS = 16;
 const DEADLINE_MS = 1_000;
 
-/** What a fleet is made of. */
+/** Options of {@link LocalFleet}. */
 export interface LocalFleetOptions {
   readonly endpoints: number;
   readonly seats: number;
-  /** How long an endpoint works on a request, in milliseconds. */
+  /** Processing time of a request at an endpoint, in milliseconds. */
   readonly workMs: number;
   /**
-   * How long callers may wait at most, in milliseconds; a seat that changed
-   * hands rests a little longer.
+   * Maximum deadline of a request, in milliseconds; a seat that changed hands
+   * stays vacant a little longer.
    */
   readonly deadlineMs?: number;
 }
 
-/** A fleet in one zone. */
+/** A fleet of instances in one zone. */
 export class LocalFleet {
   readonly clock: Clock = new SystemClock();
   readonly platform: MemoryPlatform = new MemoryPlatform(this.clock);
@@ -67,14 +67,13 @@
     return fleet;
   }
 
-  /** Accepts an edit. */
+  /** Applies an edit to the document. */
   async publish(sections: Record<string, unknown>): Promise<void> {
     const entries = Object.entries(sections) as [SectionName, unknown][];
     const edit = { author: "test", sections: new Map(entries) };
     (await this.store.apply(edit))._unsafeUnwrap();
   }
 
-  /** Starts an instance. */
   async start(id: string): Promise<Instance> {
     const cfg = parseSettings({
       instance: { id, zone: "z1", region: "r1" },
--- a/src/instance/testing/one_instance.ts
+++ b/src/instance/testing/one_instance.ts
@@ -1,5 +1,5 @@
 /**
- * One running instance over a platform in memory, with one endpoint.
+ * One running instance with an in-memory platform and one endpoint.
  *
  * @module
  */
@@ -17,7 +17,7 @@
 import { parseSettings } from "../../settings/mod.ts";
 import { Instance } from "../instance.ts";
 
-/** A running instance and what it stands on. */
+/** A running instance with its endpoint and platform. */
 export interface OneInstance {
   readonly instance: Instance;
   readonly endpoint: EndpointServer;
@@ -25,13 +25,13 @@
   close(): Promise<void>;
 }
 
-/** The key of the only account. */
+/** API key of the only account. */
 export const ONLY_KEY = "mh_0123456789abcdef-secret";
 
 const MAX_POLLS = 400;
 const POLL_MS = 25;
 
-/** Waits until the instance has its seat and lets a request through. */
+/** Waits until the instance has its seat and serves a request. */
 export async function untilServing(one: OneInstance): Promise<void> {
   for (let i = 0; i < MAX_POLLS; i++) {
     if (await callOnce(one) === 200) return;
@@ -39,7 +39,7 @@
   }
 }
 
-/** Sends a request of the only account; gives the answer's status. */
+/** Sends a request of the only account and returns its status code. */
 export async function callOnce(
   one: OneInstance,
   init: RequestInit = {},
@@ -56,7 +56,7 @@
   { log, metrics, caller = {} }: {
     log: Log;
     metrics: Metrics;
-    /** The `caller` part of the settings. */
+    /** The `caller` section of the settings. */
     caller?: Readonly<Record<string, unknown>>;
   },
 ): Promise<OneInstance> {
--- a/src/instance/testing/virtual_time.ts
+++ b/src/instance/testing/virtual_time.ts
@@ -1,30 +1,30 @@
 /**
- * One time line for many processes, each with a clock of its own that drifts
- * and goes on while the process is paused.
+ * Virtual time for many simulated processes, each with its own clock that
+ * drifts and keeps running while the process is paused.
  *
  * @module
  */
 import { setImmediate } from "node:timers/promises";
 import type { Clock, Timer } from "../../core/mod.ts";
 
-interface Event {
+interface ScheduledEvent {
   readonly at: number;
   readonly order: number;
   readonly run: () => void;
   cancelled: boolean;
 }
 
-/** Events in order of time; promises settle between two of them. */
+/** Runs events in order of time; promises settle between events. */
 export class VirtualTime {
   #now = 0;
   #order = 0;
-  readonly #heap: Event[] = [];
+  readonly #heap: ScheduledEvent[] = [];
 
   get now(): number {
     return this.#now;
   }
 
-  /** Runs something `ms` milliseconds from now. */
+  /** Schedules `run` in `ms` milliseconds. */
   after(ms: number, run: () => void): Timer {
     const at = this.#now + Math.max(0, ms);
     const event = { at, order: this.#order++, run, cancelled: false };
@@ -32,8 +32,8 @@
     return { close: () => event.cancelled = true };
   }
 
-  /** Runs all events up to `ms` from now; `each` looks after every one. */
-  async advance(ms: number, each: () => void = () => {}): Promise<void> {
+  /** Runs all events of the next `ms` milliseconds, and `afterEach` after each. */
+  async advance(ms: number, afterEach: () => void = () => {}): Promise<void> {
     const end = this.#now + ms;
     await setImmediate();
     for (let e = this.#heap[0]; e && e.at <= end; e = this.#heap[0]) {
@@ -42,7 +42,7 @@
       this.#now = e.at;
       e.run();
       await setImmediate();
-      each();
+      afterEach();
     }
     this.#now = end;
   }
@@ -53,7 +53,7 @@
   readonly #time: VirtualTime;
   readonly #speed: number;
   readonly #offset: number;
-  /** Until when, in virtual time, the process stands still. */
+  /** End of the process's pause, in virtual time. */
   pausedUntil = 0;
   dead = false;
 
@@ -82,7 +82,7 @@
     return this.#time.after(ms / this.#speed, () => this.whenRunning(run));
   }
 
-  /** Runs now, or as soon as the process goes on; never in a dead one. */
+  /** Runs now, or when the process resumes; never in a dead process. */
   whenRunning(run: () => void): void {
     if (this.dead) return;
     if (!this.paused) return run();
@@ -91,28 +91,28 @@
   }
 }
 
-function before(a: Event, b: Event): boolean {
+function isBefore(a: ScheduledEvent, b: ScheduledEvent): boolean {
   return a.at < b.at || (a.at === b.at && a.order < b.order);
 }
 
-function push(heap: Event[], event: Event): void {
+function push(heap: ScheduledEvent[], event: ScheduledEvent): void {
   heap.push(event);
   let i = heap.length - 1;
   while (i > 0) {
     const parent = (i - 1) >> 1;
-    if (!before(heap[i]!, heap[parent]!)) return;
+    if (!isBefore(heap[i]!, heap[parent]!)) return;
     swap(heap, i, parent);
     i = parent;
   }
 }
 
-function pop(heap: Event[]): void {
+function pop(heap: ScheduledEvent[]): void {
   swap(heap, 0, heap.length - 1);
   heap.pop();
   for (let i = 0;;) {
     let least = i;
     for (const child of [2 * i + 1, 2 * i + 2]) {
-      if (child < heap.length && before(heap[child]!, heap[least]!)) {
+      if (child < heap.length && isBefore(heap[child]!, heap[least]!)) {
         least = child;
       }
     }
@@ -122,6 +122,6 @@
   }
 }
 
-function swap(heap: Event[], i: number, j: number): void {
+function swap(heap: ScheduledEvent[], i: number, j: number): void {
   [heap[i], heap[j]] = [heap[j]!, heap[i]!];
 }
--- a/src/instance/tick_loop.ts
+++ b/src/instance/tick_loop.ts
@@ -1,22 +1,22 @@
 /**
- * Runs systems over the tables each tick.
+ * Runs the periodic tasks of an instance.
  *
  * @module
  */
 import type { Clock, Log, Timer } from "../core/mod.ts";
 
-/** Something that looks at tables each tick and acts. */
-export interface System {
+/** A task that runs each tick. */
+export interface TickTask {
   readonly name: string;
   run(now: number): void;
 }
 
-/** Runs systems in order, one tick after another. */
+/** Runs tasks in order, once per tick. */
 export class TickLoop {
   readonly #clock: Clock;
   readonly #log: Log;
   readonly #tickMs: number;
-  readonly #systems: System[] = [];
+  readonly #tasks: TickTask[] = [];
   #timer: Timer | undefined;
 
   constructor(clock: Clock, log: Log, tickMs: number) {
@@ -25,9 +25,9 @@
     this.#tickMs = tickMs;
   }
 
-  /** Adds a system, run after those already there. */
-  add(system: System): void {
-    this.#systems.push(system);
+  /** Adds a task that runs after those already added. */
+  add(task: TickTask): void {
+    this.#tasks.push(task);
   }
 
   start(): void {
@@ -39,15 +39,15 @@
     this.#timer = undefined;
   }
 
-  /** A system that throws is logged and does not keep the others from running. */
+  /** Logs a task that throws and runs the remaining ones. */
   #tick(): void {
     const now = this.#clock.now();
-    for (const system of this.#systems) {
+    for (const task of this.#tasks) {
       try {
-        system.run(now);
+        task.run(now);
       } catch (cause) {
         this.#log.event("system_failed", {
-          system: system.name,
+          system: task.name,
           cause: String(cause),
         });
       }
--- a/src/instance/tls_files.ts
+++ b/src/instance/tls_files.ts
@@ -1,9 +1,9 @@
 /**
- * A certificate and its key in files, read again when they are replaced.
+ * Loads a TLS certificate and key from files and reloads them on change.
  *
- * Certificates are replaced every few weeks. Read at the start only, the old
- * one would run out while the instance serves, and every new connection would
- * fail at once in all instances that were started together.
+ * Certificates are rotated every few weeks. If they were read only at start-up,
+ * the old one would expire while the instance serves, and new connections would
+ * fail at the same time on all instances started together.
  *
  * @module
  */
@@ -19,35 +19,35 @@
   type Timer,
 } from "../core/mod.ts";
 
-/** Where certificate and key stand, in PEM. */
+/** Paths of a certificate and its key in PEM format. */
 export interface TlsFiles {
   readonly certFile: string;
   readonly keyFile: string;
-  /** How often the files are looked at, in milliseconds. */
-  readonly reloadMs: number;
+  /** How often the files are read, in milliseconds. */
+  readonly reloadIntervalMs: number;
 }
 
-/** A certificate and its key. */
-export interface TlsPair {
+/** A certificate and its private key in PEM format. */
+export interface TlsCredentials {
   readonly cert: string;
   readonly key: string;
 }
 
-/** Reads a pair and checks that the two belong together; `bad_settings` if not. */
-export async function readTlsPair(
+/** Reads a certificate and key; fails with `bad_settings` if they do not match. */
+export async function readTlsCredentials(
   files: TlsFiles,
-): Promise<Result<TlsPair, Failure>> {
+): Promise<Result<TlsCredentials, Failure>> {
   try {
     const [cert, key] = await Promise.all([
       readFile(files.certFile, "utf8"),
       readFile(files.keyFile, "utf8"),
     ]);
-    // An empty certificate, as a file is while it is written anew, would pass
-    // for one, and every handshake would fail.
-    const fits = new X509Certificate(cert).checkPrivateKey(
+    // A file is empty while it is being rewritten. TLS accepts an empty
+    // certificate, and every handshake would then fail.
+    const matches = new X509Certificate(cert).checkPrivateKey(
       createPrivateKey(key),
     );
-    if (!fits) return unusable(files, "the key is of another certificate");
+    if (!matches) return unusable(files, "key and certificate do not match");
     createSecureContext({ cert, key });
     return ok({ cert, key });
   } catch (cause) {
@@ -64,29 +64,29 @@
   );
 }
 
-/** What a reloader needs. */
+/** Dependencies of {@link TlsReloader}. */
 export interface TlsReloaderDeps {
   readonly files: TlsFiles;
   readonly clock: Clock;
   readonly log: Log;
-  /** Takes a pair that differs from the one before. */
-  readonly onPair: (pair: TlsPair) => void;
+  /** Called with a certificate and key that differ from the previous ones. */
+  readonly onChange: (credentials: TlsCredentials) => void;
 }
 
 /**
- * Looks at the files again and again. A pair that does not fit together (one
- * file is replaced and the other not yet) leaves the old one in use.
+ * Reads the files periodically. A certificate and key that do not match (one
+ * file is replaced, the other not yet) leave the old ones in use.
  */
 export class TlsReloader {
   readonly #deps: TlsReloaderDeps;
-  #current: TlsPair;
+  #current: TlsCredentials;
   #timer: Timer | undefined;
   #closed = false;
 
-  constructor(deps: TlsReloaderDeps, current: TlsPair) {
+  constructor(deps: TlsReloaderDeps, current: TlsCredentials) {
     this.#deps = deps;
     this.#current = current;
-    this.#wait();
+    this.#scheduleReload();
   }
 
   close(): void {
@@ -94,22 +94,25 @@
     this.#timer?.close();
   }
 
-  #wait(): void {
+  #scheduleReload(): void {
     if (this.#closed) return;
     const { clock, files } = this.#deps;
-    this.#timer = clock.after(files.reloadMs, () => void this.#look());
+    this.#timer = clock.after(
+      files.reloadIntervalMs,
+      () => void this.#reload(),
+    );
   }
 
-  async #look(): Promise<void> {
-    const { files, log, onPair } = this.#deps;
-    const pair = await readTlsPair(files);
+  async #reload(): Promise<void> {
+    const { files, log, onChange } = this.#deps;
+    const read = await readTlsCredentials(files);
     if (this.#closed) return;
-    if (pair.isErr()) log.event("tls_reload_failed", { file: files.certFile });
-    else if (pair.value.cert !== this.#current.cert) {
-      this.#current = pair.value;
-      onPair(pair.value);
+    if (read.isErr()) log.event("tls_reload_failed", { file: files.certFile });
+    else if (read.value.cert !== this.#current.cert) {
+      this.#current = read.value;
+      onChange(read.value);
       log.event("tls_reloaded", { file: files.certFile });
     }
-    this.#wait();
+    this.#scheduleReload();
   }
 }
--- a/src/instance/tls_instance_test.ts
+++ b/src/instance/tls_instance_test.ts
@@ -7,7 +7,7 @@
 import { CERTIFICATE_ONE } from "./testing/certificates.ts";
 import { startOne } from "./testing/one_instance.ts";
 
-test("an instance with a certificate serves callers by HTTPS and says so", async (t) => {
+test("an instance with a certificate serves callers over HTTPS and lists an https URL", async (t) => {
   const dir = await mkdtemp(join(tmpdir(), "magnoliahook-tls-"));
   t.teardown(() => rm(dir, { recursive: true }));
   const tls = {
