--- a/src/cli/report_test.ts
+++ b/src/cli/report_test.ts
@@ -1,10 +1,10 @@
 import test from "ava";
 import { MemoryMetrics, SilentLog } from "../core/mod.ts";
 import {
-  callOnce,
-  startOne,
-  untilServing,
-} from "../instance/testing/one_instance.ts";
+  sendRequest,
+  startTestInstance,
+  waitUntilServing,
+} from "../instance/testing/test_instance.ts";
 import { EXIT } from "./exit.ts";
 import { CommandRunner } from "./testing/command_runner.ts";
 
@@ -14,14 +14,14 @@
 test("a burn report includes counts of an instance that has stopped", async (t) => {
   // Instances are replaced at any time. If their counts were lost, every restart
   // would erase its own failures from the report.
-  const one = await startOne({
+  const one = await startTestInstance({
     log: new SilentLog(),
     metrics: new MemoryMetrics(),
   });
-  await untilServing(one);
-  for (let i = 0; i < GOOD_CALLS; i++) t.is(await callOnce(one), 200);
+  await waitUntilServing(one);
+  for (let i = 0; i < GOOD_CALLS; i++) t.is(await sendRequest(one), 200);
   await one.endpoint.close();
-  const failed = await callOnce(one);
+  const failed = await sendRequest(one);
   t.true(failed >= 500, String(failed));
   await one.instance.stop();
 
@@ -41,7 +41,7 @@
 });
 
 test("a burn report without any counts says so", async (t) => {
-  const one = await startOne({
+  const one = await startTestInstance({
     log: new SilentLog(),
     metrics: new MemoryMetrics(),
   });
--- a/src/cli/status_test.ts
+++ b/src/cli/status_test.ts
@@ -9,7 +9,7 @@
   SystemClock,
 } from "../core/mod.ts";
 import { DocumentStore, type SectionName, sha256 } from "../document/mod.ts";
-import { startOne } from "../instance/testing/one_instance.ts";
+import { startTestInstance } from "../instance/testing/test_instance.ts";
 import { EXIT } from "./exit.ts";
 import { CommandRunner } from "./testing/command_runner.ts";
 
@@ -17,7 +17,7 @@
 const MAX_TRIES = 200;
 
 async function setup(t: ExecutionContext) {
-  const one = await startOne({
+  const one = await startTestInstance({
     log: new SilentLog(),
     metrics: new MemoryMetrics(),
   });
--- a/src/instance/instance_parts.ts
+++ b/src/instance/component_overrides.ts
@@ -12,21 +12,21 @@
 } from "./document_follower.ts";
 
 /** Classes that replace the default ones. */
-export interface InstanceParts {
+export interface ComponentOverrides {
   readonly seats?: new (deps: LeasedSeatsDeps) => LeasedSeats;
   readonly follower?: new (deps: DocumentFollowerDeps) => DocumentFollower;
   readonly operations?: new (runner: OperationRunner) => Operations;
 }
 
 export function createSeats(
-  parts: InstanceParts | undefined,
+  parts: ComponentOverrides | undefined,
   deps: LeasedSeatsDeps,
 ): LeasedSeats {
   return new (parts?.seats ?? LeasedSeats)(deps);
 }
 
 export function createFollower(
-  parts: InstanceParts | undefined,
+  parts: ComponentOverrides | undefined,
   deps: DocumentFollowerDeps,
 ): DocumentFollower {
   return new (parts?.follower ?? DocumentFollower)(deps);
--- a/src/instance/document_follower.ts
+++ b/src/instance/document_follower.ts
@@ -174,11 +174,11 @@
   /** Returns whether the manifest is done with: in force, older, or unusable. */
   async #adopt(found: FoundManifest): Promise<boolean> {
     const { generation } = found.manifest;
-    if (this.isKnown(generation)) return true;
+    if (this.isProcessed(generation)) return true;
     const contents = await this.#loadContents(found);
     if (contents === undefined) return false;
     const before = await this.#previousContents(found);
-    if (this.isKnown(generation)) return true;
+    if (this.isProcessed(generation)) return true;
     const assembled = assembleDocument(found.manifest, contents, {
       previous: before,
       parse: this.#sections.parse,
@@ -202,7 +202,7 @@
   }
 
   /** Whether a generation is not above the one in force or the last rejected one. */
-  protected isKnown(generation: number): boolean {
+  protected isProcessed(generation: number): boolean {
     return generation <= this.#generation ||
       generation <= this.#rejectedGeneration;
   }
--- a/src/instance/fleet_budgets_test.ts
+++ b/src/instance/fleet_budgets_test.ts
@@ -75,7 +75,7 @@
   t.true(tally.refused > 500, `only ${tally.refused} were refused`);
   t.is(tally.withoutRetry, 0);
   t.true(tally.slowestMs < 200, `a refusal took ${tally.slowestMs} ms`);
-  t.is(fleet.fleet.overRate("a"), 0);
+  t.is(fleet.fleet.countOverRate("a"), 0);
 });
 
 // An instance is paused for longer than its leases while others take over its
@@ -150,7 +150,7 @@
 // end; the sums are checked at every event.
 test("a leaving instance's seat moves only after its loans have ended", async (t) => {
   const fleet = new BudgetFleet(1, fleetSpec({ deadlineMs: 1_000 }), {
-    leased: true,
+    useLeasedSeats: true,
   });
   await fleet.advance(3_000);
   const [leaver, , busy] = fleet.live();
--- a/src/instance/hostile_input_test.ts
+++ b/src/instance/hostile_input_test.ts
@@ -5,7 +5,7 @@
 import { type Log, type LogFields, MemoryMetrics } from "../core/mod.ts";
 import { BatchSchema } from "../gen/peer_pb.ts";
 import { arbitraryMessage } from "./testing/arbitrary_message.ts";
-import { ONLY_KEY, startOne } from "./testing/one_instance.ts";
+import { startTestInstance, TEST_KEY } from "./testing/test_instance.ts";
 
 const RUNS = { seed: 20_261_202, numRuns: 150 };
 const EXCHANGE = "/magnoliahook.peer.v1.PeerService/Exchange";
@@ -24,7 +24,10 @@
 }
 
 function setup() {
-  return startOne({ log: new FailureLog(), metrics: new MemoryMetrics() });
+  return startTestInstance({
+    log: new FailureLog(),
+    metrics: new MemoryMetrics(),
+  });
 }
 
 test.serial("any look-up body gets a response or a structured error", async (t) => {
@@ -72,7 +75,7 @@
     "x-client-account": value,
     "accept-encoding": value,
   }, { requiredKeys: [] });
-  const authorization = fc.oneof(value, fc.constant(`Bearer ${ONLY_KEY}`));
+  const authorization = fc.oneof(value, fc.constant(`Bearer ${TEST_KEY}`));
   await fc.assert(
     fc.asyncProperty(
       headers,
@@ -99,7 +102,7 @@
   // A peer of a newer version, or another program, connects to the peer listener.
   // Its messages may be refused, but the instance must keep serving.
   const log = new FailureLog();
-  const one = await startOne({ log, metrics: new MemoryMetrics() });
+  const one = await startTestInstance({ log, metrics: new MemoryMetrics() });
   t.teardown(() => one.close());
   const body = fc.oneof(
     fc.uint8Array({ maxLength: 300 }),
--- a/src/instance/instance.ts
+++ b/src/instance/instance.ts
@@ -58,10 +58,10 @@
   SocketListeners,
 } from "./instance_listeners.ts";
 import {
+  type ComponentOverrides,
   createFollower,
   createSeats,
-  type InstanceParts,
-} from "./instance_parts.ts";
+} from "./component_overrides.ts";
 import { outcomeLog } from "./outcome_log.ts";
 import { PlatformContact } from "./platform_contact.ts";
 import { Steering } from "./steering.ts";
@@ -80,7 +80,7 @@
   readonly log: Log;
   /** Defaults to sockets at the addresses in the settings. */
   readonly listeners?: InstanceListeners;
-  readonly parts?: InstanceParts;
+  readonly parts?: ComponentOverrides;
 }
 
 /** Events that an instance emits. */
--- a/src/instance/secrecy_test.ts
+++ b/src/instance/secrecy_test.ts
@@ -7,7 +7,7 @@
   type Metrics,
   type Tags,
 } from "../core/mod.ts";
-import { ONLY_KEY as KEY, startOne } from "./testing/one_instance.ts";
+import { startTestInstance, TEST_KEY as KEY } from "./testing/test_instance.ts";
 
 const MAX_POLLS = 400;
 
@@ -52,7 +52,7 @@
   // Callers put keys into paths, ids and headers by mistake. Logs and metrics
   // have many readers, so a key in them is leaked.
   const recorder = new Recorder();
-  const one = await startOne({ log: recorder, metrics: recorder });
+  const one = await startTestInstance({ log: recorder, metrics: recorder });
   const { endpoint, instance } = one;
   t.teardown(() => one.close());
   const send = async (path: string, init: RequestInit = {}) => {
--- a/src/instance/testing/budget_fleet.ts
+++ b/src/instance/testing/budget_fleet.ts
@@ -80,7 +80,7 @@
 export interface FleetOptions {
   readonly faults?: Partial<Faults>;
   /** Whether to use the real leased seats instead of the faster fakes. */
-  readonly leased?: boolean;
+  readonly useLeasedSeats?: boolean;
   /** One-way delay, in milliseconds, instead of the faults' range. */
   readonly delayMs?: (fromZone: string, toZone: string) => number;
 }
@@ -276,7 +276,7 @@
    * Number of admissions that one bucket shared by all processes would refuse.
    * Its rate is raised by the maximum clock drift.
    */
-  overRate(account: string): number {
+  countOverRate(account: string): number {
     const { rate_per_s, burst } = this.spec.rates[account]!;
     const ratePerS = rate_per_s * (1 + MAX_DRIFT);
     const bucket = new TokenBucket({ ratePerS, burst }, 0, burst);
@@ -348,7 +348,7 @@
       spec: () => FleetSpec | undefined;
     },
   ): FleetSeats {
-    if (this.#opts.leased) {
+    if (this.#opts.useLeasedSeats) {
       return new LeasedSeats({
         instance: instance as InstanceId,
         zone: zone as ZoneId,
--- a/src/instance/testing/budget_ops.ts
+++ b/src/instance/testing/budget_ops.ts
@@ -126,7 +126,7 @@
   }
   await fleet.advance(1_500);
   for (const account of Object.keys(FLEET_SPEC.rates)) {
-    const over = fleet.overRate(account);
+    const over = fleet.countOverRate(account);
     invariant(over === 0, `${account}: ${over} admitted above its rate`);
   }
   return fleet;
--- a/src/instance/testing/one_instance.ts
+++ b/src/instance/testing/test_instance.ts
@@ -18,7 +18,7 @@
 import { Instance } from "../instance.ts";
 
 /** A running instance with its endpoint and platform. */
-export interface OneInstance {
+export interface TestInstance {
   readonly instance: Instance;
   readonly endpoint: EndpointServer;
   readonly platform: MemoryPlatform;
@@ -26,40 +26,40 @@
 }
 
 /** API key of the only account. */
-export const ONLY_KEY = "mh_0123456789abcdef-secret";
+export const TEST_KEY = "mh_0123456789abcdef-secret";
 
 const MAX_POLLS = 400;
 const POLL_MS = 25;
 
 /** Waits until the instance has its seat and serves a request. */
-export async function untilServing(one: OneInstance): Promise<void> {
+export async function waitUntilServing(one: TestInstance): Promise<void> {
   for (let i = 0; i < MAX_POLLS; i++) {
-    if (await callOnce(one) === 200) return;
+    if (await sendRequest(one) === 200) return;
     await new Promise((resolve) => setTimeout(resolve, POLL_MS));
   }
 }
 
 /** Sends a request of the only account and returns its status code. */
-export async function callOnce(
-  one: OneInstance,
+export async function sendRequest(
+  one: TestInstance,
   init: RequestInit = {},
 ): Promise<number> {
   const url = `${one.instance.callerUrl}/services/mapview/closures`;
-  const headers = { authorization: `Bearer ${ONLY_KEY}`, ...init.headers };
+  const headers = { authorization: `Bearer ${TEST_KEY}`, ...init.headers };
   const res = await fetch(url, { ...init, headers });
   await res.arrayBuffer();
   return res.status;
 }
 
 /** Starts the instance with the service `mapview`, whose GETs are idempotent. */
-export async function startOne(
+export async function startTestInstance(
   { log, metrics, caller = {} }: {
     log: Log;
     metrics: Metrics;
     /** The `caller` section of the settings. */
     caller?: Readonly<Record<string, unknown>>;
   },
-): Promise<OneInstance> {
+): Promise<TestInstance> {
   const endpoint = await EndpointServer.open({
     id: "mapview-1",
     service: "mapview",
@@ -98,7 +98,7 @@
 }
 
 function sectionsFor(url: string): Record<string, unknown> {
-  const keys = [{ id: "k1", sha256: sha256(ONLY_KEY) }];
+  const keys = [{ id: "k1", sha256: sha256(TEST_KEY) }];
   const place = { zone: "gulf-a", url, slots: 4, connections: 9 };
   return {
     accounts: { accounts: { a1: { keys } } },
--- a/src/instance/tls_instance_test.ts
+++ b/src/instance/tls_instance_test.ts
@@ -5,7 +5,7 @@
 import { Agent, request } from "undici";
 import { MemoryMetrics, SilentLog } from "../core/mod.ts";
 import { CERTIFICATE_ONE } from "./testing/certificates.ts";
-import { startOne } from "./testing/one_instance.ts";
+import { startTestInstance } from "./testing/test_instance.ts";
 
 test("an instance with a certificate serves callers over HTTPS and lists an https URL", async (t) => {
   const dir = await mkdtemp(join(tmpdir(), "magnoliahook-tls-"));
@@ -16,7 +16,7 @@
   };
   await writeFile(tls.cert_file, CERTIFICATE_ONE.cert);
   await writeFile(tls.key_file, CERTIFICATE_ONE.key);
-  const one = await startOne({
+  const one = await startTestInstance({
     log: new SilentLog(),
     metrics: new MemoryMetrics(),
     caller: { tls, limits: { header_bytes: 2_048 } },
--- a/tools/budgets/refusals_main.ts
+++ b/tools/budgets/refusals_main.ts
@@ -122,7 +122,7 @@
   }
   await fleet.time.advance(end - from + TIMEOUT_MS);
   tally.over_rate = accounts
-    .reduce((n, [account]) => n + fleet.overRate(account), 0);
+    .reduce((n, [account]) => n + fleet.countOverRate(account), 0);
   waits.sort((a, b) => a - b);
   tally.waited = waits.length;
   tally.wait_p99_ms = Math.round(waits[Math.floor(waits.length * 0.99)] ?? 0);
@@ -141,7 +141,7 @@
     slots: 9,
     deadlineMs: 2_000,
   }, {
-    leased: true,
+    useLeasedSeats: true,
     delayMs: (a, b) =>
       regionOf(a) === regionOf(b) ? ZONE_DELAY_MS : REGION_DELAY_MS,
   });
--- a/tools/soak/soak.ts
+++ b/tools/soak/soak.ts
@@ -6,7 +6,7 @@
 import { Buffer } from "node:buffer";
 import { SeededRandom } from "../../src/core/mod.ts";
 import { sha256 } from "../../src/document/mod.ts";
-import type { InstanceParts } from "../../src/instance/mod.ts";
+import type { ComponentOverrides } from "../../src/instance/mod.ts";
 import { inject } from "./inject.ts";
 import { type Attempt, SoakChecks, type Violation } from "./soak_checks.ts";
 import { ACCOUNTS, keyOf, ZONES } from "./soak_document.ts";
@@ -17,7 +17,7 @@
   readonly seed: number;
   readonly steps: number;
   /** Parts of an instance handed in, to see a planted fault caught. */
-  readonly parts?: InstanceParts;
+  readonly parts?: ComponentOverrides;
   /** Kinds of fault that are left out, to shorten a trace. */
   readonly without?: ReadonlySet<string>;
   /** What strikes at which step, in place of what chance would bring. */
--- a/tools/soak/soak_test.ts
+++ b/tools/soak/soak_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import {
+  type ComponentOverrides,
   DocumentFollower,
-  type InstanceParts,
 } from "../../src/instance/mod.ts";
 import { LeasedSeats } from "../../src/membership/mod.ts";
 import { LocalOperations } from "../../src/operations/mod.ts";
@@ -39,7 +39,7 @@
 
 /** Takes whatever generation differs from the one in force. */
 class DiffersFollower extends DocumentFollower {
-  protected override isKnown(generation: number): boolean {
+  protected override isProcessed(generation: number): boolean {
     return generation === this.generation;
   }
 }
@@ -47,7 +47,7 @@
 const PLANTED: readonly {
   name: string;
   steps: number;
-  parts: InstanceParts;
+  parts: ComponentOverrides;
   script: readonly (readonly [number, readonly FaultKind[]])[];
   property: string;
 }[] = [
--- a/tools/soak/soak_world.ts
+++ b/tools/soak/soak_world.ts
@@ -16,10 +16,10 @@
 } from "../../src/core/mod.ts";
 import { DocumentStore, type SectionName } from "../../src/document/mod.ts";
 import {
+  type ComponentOverrides,
   Instance,
   type InstanceHandlers,
   type InstanceListeners,
-  type InstanceParts,
 } from "../../src/instance/mod.ts";
 import { FaultyPlatform } from "../../src/membership/testing/faulty_platform.ts";
 import {
@@ -59,10 +59,10 @@
   readonly nodes: SoakNode[] = [];
   /** Sections as the operators last wrote them. */
   readonly sections = documentSections();
-  readonly #parts: InstanceParts;
+  readonly #parts: ComponentOverrides;
   #born = 0;
 
-  constructor(seed: number, parts: InstanceParts = {}) {
+  constructor(seed: number, parts: ComponentOverrides = {}) {
     this.random = new SeededRandom(seed);
     this.network = new SoakNetwork(this.clock, this.random);
     this.endpoints = new SoakEndpoints(this.clock, this.random, this.network);
