--- a/src/instance/entry_lookup.ts
+++ b/src/instance/entry_lookup.ts
@@ -71,7 +71,7 @@
     steering.entries.prepare(eligible);
   }
 
-  /** Entries that hold a seat, or all if none does: without one an instance refuses requests. */
+  /** Entries that hold a seat, or all if none does; without one, requests are refused. */
   #withSeat(entries: EntryChoice[]): EntryChoice[] {
     const { seats } = this.#opts;
     const holders = new Set(seats.entries().map((s) => s.holder));
--- a/src/instance/fleet_budgets.ts
+++ b/src/instance/fleet_budgets.ts
@@ -159,7 +159,7 @@
     });
   }
 
-  /** Whether the slots of all seats held here are usable. */
+  /** Whether this instance holds seats and may use all their slots. */
   settled(now: number): boolean {
     return this.#slots.settled(now);
   }
--- a/src/instance/load_exchange.ts
+++ b/src/instance/load_exchange.ts
@@ -44,7 +44,7 @@
   readonly links: LinkBudgets;
   readonly dispatcher: RegionDispatcher;
   readonly services: () => readonly ServiceId[];
-  /** Load of this instance; 0 is idle, 1 is all slots in use. */
+  /** Requests in flight or waiting at this instance, divided by its slots. */
   readonly load: () => number;
 }
 
--- a/src/instance/testing/budget_fleet.ts
+++ b/src/instance/testing/budget_fleet.ts
@@ -228,7 +228,7 @@
     }
   }
 
-  /** Sends one request of an account; `undefined` while the process is paused or dead. */
+  /** Sends one request of an account; `undefined` if the process is paused or dead. */
   request(
     node: FleetNode,
     account: string,
--- a/src/instance/tls_files.ts
+++ b/src/instance/tls_files.ts
@@ -69,7 +69,7 @@
   readonly files: TlsFiles;
   readonly clock: Clock;
   readonly log: Log;
-  /** Called with a certificate and key that differ from the previous ones. */
+  /** Called when the certificate has changed. */
   readonly onChange: (credentials: TlsCredentials) => void;
 }
 
