--- a/src/fleet/digest_exchange.ts
+++ b/src/fleet/digest_exchange.ts
@@ -14,93 +14,93 @@
 import type { NameDictionary } from "./name_dictionary.ts";
 import type { Peer, PeerTable } from "./peer_table.ts";
 
-/** Period of digests, in milliseconds; shares of rates lag by it. */
-export const DIGEST_EVERY_MS = 250;
-/** One digest in so many carries the sender's profile, as do the first. */
-const INTRODUCED_EVERY = 8;
-export const INTRODUCED_FIRST = 4;
-/** Unreachable instances get one digest in so many: they may be gone. */
-const SILENT_EVERY = 4;
+/** Gossip period; shares of rates lag by it. */
+export const DIGEST_INTERVAL_MS = 250;
+/** One digest in this many carries profiles, as do the first ones. */
+const PROFILE_INTERVAL_DIGESTS = 8;
+/** An instance counts as just started for its first digests. */
+export const NEWCOMER_DIGESTS = 4;
+/** Unreachable instances, which may have ended, get one digest in this many. */
+const UNREACHABLE_INTERVAL_PERIODS = 4;
 
 /**
- * Recipients of a period.
+ * Recipients of a digest.
  *
  * @param seq Counts the periods.
  */
-export function toTell(
+export function gossipRecipients(
   peers: readonly Peer[],
   seq: number,
 ): readonly InstanceProfile[] {
-  const also = (seq + 1) % SILENT_EVERY === 0;
-  return peers.filter((p) => !p.unreachable || also).map((p) => p.profile);
+  const includeUnreachable = (seq + 1) % UNREACHABLE_INTERVAL_PERIODS === 0;
+  return peers.filter((p) => !p.unreachable || includeUnreachable).map((p) =>
+    p.profile
+  );
 }
 
-/** What the exchange works with. */
 export interface DigestExchangeOptions {
   readonly datagrams: Datagrams;
   readonly peers: PeerTable;
-  readonly book: NameDictionary;
+  readonly dictionary: NameDictionary;
   readonly clock: Clock;
   readonly random: Random;
   /** Addresses to try while no instance is known. */
   readonly seeds: readonly string[];
-  /** To whom a digest goes. */
   readonly recipients: (seq: number) => readonly InstanceProfile[];
-  /** This instance's digest of this moment; `toNewcomer` where one reads it. */
+  /** Composes the digest; `toNewcomer` if an instance has just started. */
   readonly compose: (seq: number, toNewcomer: boolean) => Digest;
-  /** Runs each period, after the digest was sent. */
-  readonly reported: (digest: Digest) => void;
+  /** Called after each digest was sent. */
+  readonly onSent: (digest: Digest) => void;
 }
 
-/** The exchange of one instance. */
 export class DigestExchange {
   readonly #opts: DigestExchangeOptions;
   #timer: Timer | undefined;
   #seq = 0;
-  #last: Digest | undefined;
-  /** Whether an instance was heard that has just started. */
-  #newcomer = false;
+  #lastDigest: Digest | undefined;
+  /** Whether an instance that has just started sent a digest. */
+  #hasNewcomer = false;
 
   constructor(opts: DigestExchangeOptions) {
     this.#opts = opts;
-    const { datagrams, peers, book, clock } = opts;
+    const { datagrams, peers, dictionary, clock } = opts;
     const profileOf = (idHash: number) => peers.profileOf(idHash);
     const decode = (bytes: Uint8Array) =>
-      decodeCompactDigest(bytes, { dictionary: book, profileOf });
+      decodeCompactDigest(bytes, { dictionary, profileOf });
     datagrams.onDecoded("compactDigest", decode, (digest) => {
       if (digest === undefined) return;
-      if (digest.seq < INTRODUCED_FIRST) this.#newcomer = true;
+      if (digest.seq < NEWCOMER_DIGESTS) this.#hasNewcomer = true;
       peers.heard(digest, clock.now());
     });
     datagrams.onDecoded("digest", decodeJsonDigest, (digest) => {
       peers.heard(digest, clock.now());
-      this.#answerEarlierBuild(digest.profile);
+      this.#replyToPreviousBuild(digest.profile);
     });
   }
 
   /** Sends the first digest at once, then one each period. */
   start(): void {
-    this.tell();
+    this.sendNow();
     this.#schedule();
   }
 
-  /** Sends a digest now, as after a change that others should know at once. */
-  tell(): void {
-    const { compose, recipients, datagrams, book, seeds, reported } =
+  /** Sends a digest now, as after a change that others need at once. */
+  sendNow(): void {
+    const { compose, recipients, datagrams, dictionary, seeds, onSent } =
       this.#opts;
     const seq = this.#seq++;
-    const introduces = this.#newcomer || seq < INTRODUCED_FIRST ||
-      seq % INTRODUCED_EVERY === 0;
-    const digest = compose(seq, this.#newcomer);
-    this.#newcomer = false;
-    this.#last = digest;
+    const includeProfiles = this.#hasNewcomer || seq < NEWCOMER_DIGESTS ||
+      seq % PROFILE_INTERVAL_DIGESTS === 0;
+    const digest = compose(seq, this.#hasNewcomer);
+    this.#hasNewcomer = false;
+    this.#lastDigest = digest;
     const bytes = encodeCompactDigest(digest, {
-      dictionary: book,
-      includeProfiles: introduces,
+      dictionary,
+      includeProfiles,
     });
     const to = recipients(digest.seq).map((p) => p.digestAddress);
     datagrams.send("compactDigest", to.length > 0 ? to : seeds, bytes);
-    reported(digest);
+    onSent(digest);
   }
 
   close(): void {
@@ -108,22 +108,22 @@
   }
 
   /**
-   * While builds change, an instance of the previous one cannot read what is
-   * told to all. It is told in its own format each time that it tells, or it
-   * would take this one for gone and set its share of rates aside.
+   * During an update an instance of the previous build cannot read compact
+   * digests. Each of its digests is answered in its own format; otherwise it
+   * would consider this instance unreachable and reserve its share of rates.
    */
-  #answerEarlierBuild({ digestAddress }: InstanceProfile): void {
-    if (this.#last === undefined) return;
-    const bytes = encodeJsonDigest(this.#last);
+  #replyToPreviousBuild({ digestAddress }: InstanceProfile): void {
+    if (this.#lastDigest === undefined) return;
+    const bytes = encodeJsonDigest(this.#lastDigest);
     this.#opts.datagrams.send("digest", [digestAddress], bytes);
   }
 
   #schedule(): void {
     const { clock, random, peers } = this.#opts;
-    const waitMs = DIGEST_EVERY_MS * (0.9 + 0.2 * random.next());
+    const waitMs = DIGEST_INTERVAL_MS * (0.9 + 0.2 * random.next());
     this.#timer = clock.after(waitMs, () => {
       peers.tick(clock.now());
-      this.tell();
+      this.sendNow();
       this.#schedule();
     });
   }
--- a/src/fleet/digest_exchange_test.ts
+++ b/src/fleet/digest_exchange_test.ts
@@ -16,9 +16,9 @@
 } from "./mod.ts";
 import { digest, profile } from "./testing/digest_fixtures.ts";
 
-const SORT_OF_EARLIER_BUILD = 1;
+const PREVIOUS_BUILD_TYPE = 1;
 
-/** The exchange of instance `i0`, and what it sent by address. */
+/** The exchange of instance `i0`, and the datagrams it sent. */
 function exchange() {
   const sent: { address: string; bytes: Buffer }[] = [];
   let take: (bytes: Uint8Array) => void = () => {};
@@ -37,39 +37,39 @@
   const exchange = new DigestExchange({
     datagrams,
     peers,
-    book: new NameDictionary(),
+    dictionary: new NameDictionary(),
     clock: new ManualClock(),
     random: new SeededRandom(1),
     seeds: ["seed:70"],
     recipients: () => [],
     compose: (seq) => digest("i0", { seq }),
-    reported: () => {},
+    onSent: () => {},
   });
   return { exchange, sent, heard, take: (bytes: Buffer) => take(bytes) };
 }
 
-test("an instance of the previous build is heard, and answered in its format", (t) => {
-  // Builds change one instance at a time. One that cannot read what it is told
-  // takes the others for gone: it would set their shares of rates aside and
-  // send its callers to itself alone.
+test("a digest of the previous build is accepted and answered in its format", (t) => {
+  // During a rolling update an instance that cannot read the others' digests
+  // would consider them unreachable, reserve their shares of rates and send its
+  // callers only to itself.
   const { exchange: subject, sent, heard, take } = exchange();
-  subject.tell();
+  subject.sendNow();
   sent.length = 0;
   const bytes = encodeJsonDigest(digest("old"));
-  take(Buffer.concat([Buffer.of(SORT_OF_EARLIER_BUILD), bytes]));
+  take(Buffer.concat([Buffer.of(PREVIOUS_BUILD_TYPE), bytes]));
   t.deepEqual(heard, ["old" as InstanceId]);
   t.deepEqual(sent.map((s) => s.address), ["old:70"]);
   const answer = sent[0]?.bytes ?? Buffer.alloc(0);
-  t.is(answer[0], SORT_OF_EARLIER_BUILD);
+  t.is(answer[0], PREVIOUS_BUILD_TYPE);
   const read = decodeJsonDigest(answer.subarray(1))._unsafeUnwrap();
   t.is(read.profile.id, "i0" as InstanceId);
 });
 
-test("an instance of this build is not answered digest by digest", (t) => {
-  // All tell all by themselves; an answer to each would double what is sent.
+test("a digest of this build is not answered", (t) => {
+  // Each instance sends its own digests; answering each would double the traffic.
   const first = exchange();
   const second = exchange();
-  first.exchange.tell();
+  first.exchange.sendNow();
   const reported = first.sent[0]?.bytes ?? Buffer.alloc(0);
   second.take(reported);
   t.deepEqual(second.sent, []);
--- a/src/fleet/directory.ts
+++ b/src/fleet/directory.ts
@@ -1,31 +1,29 @@
 /**
- * Which instances callers are sent to.
+ * Selects the instances that callers connect to.
  *
- * Callers choose one of the named instances at random for each connection, so
- * the answer names those of the caller's region: close, and the failure of one
- * moves only its own part of the callers. A region without any is served by the
- * others.
+ * Callers choose one of the listed instances at random for each connection, so
+ * the response lists those of the caller's region: they are close, and the
+ * failure of one moves only its own callers. A region without serving instances
+ * gets those of all regions.
  *
  * @module
  */
 import type { RegionId } from "../core/mod.ts";
 import type { InstanceProfile, InstanceState } from "./instance_profile.ts";
 
-/** This instance's own part of the answer. */
-export interface OwnEntry {
+/** This instance and its state. */
+export interface OwnInstance {
   readonly profile: InstanceProfile;
   readonly state: InstanceState;
 }
 
-/**
- * Most addresses that an answer names: what a caller takes from one answer.
- */
-const MOST_ADDRESSES = 64;
+/** A caller reads at most this many addresses from a response. */
+const MAX_ADDRESSES = 64;
 
 /**
  * Addresses for callers of a region.
  *
- * @param others The other instances that take callers.
+ * @param others The other serving instances.
  *
  * @example
  * ```ts
@@ -34,12 +32,12 @@
  */
 export function callerAddresses(
   others: readonly InstanceProfile[],
-  own: OwnEntry,
+  own: OwnInstance,
   region: RegionId | undefined,
 ): string[] {
   const serving = [...others];
   if (own.state === "serving") serving.push(own.profile);
-  const near = serving.filter((p) => p.region === region);
-  const named = near.length > 0 ? near : serving;
-  return named.map((p) => p.callerAddress).sort().slice(0, MOST_ADDRESSES);
+  const inRegion = serving.filter((p) => p.region === region);
+  const selected = inRegion.length > 0 ? inRegion : serving;
+  return selected.map((p) => p.callerAddress).sort().slice(0, MAX_ADDRESSES);
 }
--- a/src/fleet/fleet_member.ts
+++ b/src/fleet/fleet_member.ts
@@ -1,10 +1,10 @@
 /**
- * One instance among the others: who is there, what they tell, and what this
- * one does for its zone.
+ * Membership of one instance in the fleet: gossip, liveness of the others, and
+ * its roles in its zone.
  *
- * Up to a few dozen instances everybody tells everybody. Beyond, an instance
- * follows its zone's relay, and relays hear their own zone one by one and the
- * other zones as wholes. Whoever takes in what is reported sees groups: an
+ * Up to a few dozen instances gossip in a full mesh. In larger fleets an instance
+ * follows its zone's relay, and relays receive their own zone's reports by
+ * instance and those of other zones by zone. Receivers of reports see groups: an
  * instance, a zone, or the rest of the fleet.
  *
  * @module
@@ -27,7 +27,7 @@
 import { decodeChanges, encodeChanges } from "./change_relay.ts";
 import { Datagrams, type DatagramTransport } from "./datagrams.ts";
 import type { Digest } from "./digest.ts";
-import { DigestExchange, toTell } from "./digest_exchange.ts";
+import { DigestExchange, gossipRecipients } from "./digest_exchange.ts";
 import { decodeAggregate, type FleetAggregate } from "./fleet_aggregate.ts";
 import { FleetFeed, type GroupEvents } from "./fleet_feed.ts";
 import type { InstanceProfile } from "./instance_profile.ts";
@@ -45,38 +45,37 @@
 import { ZoneRelay } from "./zone_relay.ts";
 import { zoneGroupId, ZoneTable } from "./zone_table.ts";
 
-/** What an instance says of itself each time. */
+/** State of this instance for its next digest. */
 export interface SelfReport extends
   Pick<
     Digest,
     "state" | "planVersion" | "storeInTouch" | "changes" | "uses" | "inFlight"
   > {
-  /** Limits that endpoints named, or ceased to name, in answers to this one. */
+  /** Limits that endpoints stated, or stopped stating, in responses. */
   readonly limits: ObservedLimits;
-  /** What is set aside for groups that are not heard; a relay passes it on. */
+  /** Reserved shares of silent groups; a relay sends them on. */
   readonly reservations: readonly Reservation[];
 }
 
-/** Takes in what happens among the instances. */
+/** Receives reports, changes and this instance's roles. */
 export interface FleetEvents extends GroupEvents {
-  /** What this instance is to do for its zone. */
+  /** The roles of this instance after each digest. */
   roles(roles: Roles): void;
-  /** Changes that a neighbour read in the store. */
+  /** Changes that a peer read from the store. */
   relayed(changes: RelayedChanges): void;
 }
 
-/** What a member works with. */
 export interface FleetMemberOptions {
   readonly profile: InstanceProfile;
-  /** How much it can carry, compared with the others. */
+  /** Capacity relative to the other instances. */
   readonly capacity: number;
   /** Whether the whole fleet starts for the first time. */
   readonly firstStart: boolean;
-  /** Instances that are assumed until the list of them is read. */
+  /** Minimum fleet size until the instance list is read. */
   readonly assumed: number;
   readonly seeds: readonly string[];
   readonly transport: DatagramTransport;
-  /** Names that digests give as hashes; whoever learns of one adds it. */
+  /** Resolves the hashed names in digests; callers add the names they learn. */
   readonly book: NameDictionary;
   readonly clock: Clock;
   readonly random: Random;
@@ -86,15 +85,15 @@
 }
 
 /**
- * Instances that a digest names for those that could not read the list, and
- * that it names when one has just started.
+ * Other instances listed in a digest, for recipients that cannot read the
+ * instance list; more once an instance has just started.
  */
-const OTHERS_TOLD = 1;
-const OTHERS_TOLD_NEWCOMERS = 12;
-/** Enough that an instance's starts differ. */
-const START_BYTES = 4;
+const OTHER_PROFILES_PER_DIGEST = 1;
+const OTHER_PROFILES_FOR_NEWCOMERS = 12;
+/** Random bytes that tell the runs of an instance apart. */
+const START_ID_BYTES = 4;
 
-/** This instance's part in the fleet. */
+/** Takes part in the gossip of the fleet. */
 export class FleetMember {
   readonly #opts: FleetMemberOptions;
   readonly #start: string;
@@ -106,13 +105,13 @@
   readonly #relayFollower: RelayFollower;
   readonly #roles: ZoneRoles;
   readonly #digests: DigestExchange;
-  #current: Roles = { isRelay: false, isStoreWatcher: false };
+  #currentRoles: Roles = { isRelay: false, isStoreWatcher: false };
   #reservations: readonly Reservation[] = [];
 
   constructor(opts: FleetMemberOptions) {
     this.#opts = opts;
     const { profile, capacity, clock, random, log, seeds, events } = opts;
-    this.#start = random.hex(START_BYTES);
+    this.#start = random.hex(START_ID_BYTES);
     this.#datagrams = new Datagrams(opts.transport, log);
     this.#peers = new PeerTable(profile, opts.assumed, {
       reported: (digest, now) => this.#reported(digest, now),
@@ -131,7 +130,7 @@
     this.#roles = new ZoneRoles({ id: profile.id, capacity }, firstStart);
     const common = {
       datagrams: this.#datagrams,
-      book: opts.book,
+      dictionary: opts.book,
       peers: this.#peers,
       clock,
       random,
@@ -142,7 +141,7 @@
       exchange: new ZoneExchange({
         ...common,
         zones: this.#zones,
-        passOn: (zone, bytes) => this.#passOn(zone, bytes),
+        forwardDigest: (zone, bytes) => this.#forwardZoneDigest(zone, bytes),
       }),
     });
     const own = { id: profile.id, start: this.#start };
@@ -155,7 +154,7 @@
       seeds,
       recipients: (seq) => this.#recipients(seq),
       compose: (seq, toNewcomer) => this.#compose(seq, toNewcomer),
-      reported: (digest) => this.#period(digest),
+      onSent: (digest) => this.#onDigestSent(digest),
     });
     this.#datagrams.onDecoded("changes", decodeChanges, (changes) => {
       events.relayed(changes);
@@ -173,14 +172,14 @@
     return this.#peers.fleetSize;
   }
 
-  /** How old what is known of the others may be, in milliseconds. */
+  /** Maximum age of the state known of other instances, in milliseconds. */
   get gossipDelayMs(): number {
     return this.#peers.isMesh
       ? DIRECT_GOSSIP_DELAY_MS
       : RELAYED_GOSSIP_DELAY_MS;
   }
 
-  /** Whether one that asks the store for this one too is answered. */
+  /** Whether the store responds to a peer that watches it for this instance. */
   get watchPeerInTouch(): boolean {
     return this.#peers.watchPeers().some((n) => !n.suspect && n.storeInTouch);
   }
@@ -189,26 +188,26 @@
     this.#digests.start();
   }
 
-  /** Tells the others now, as after a change that they should know at once. */
+  /** Sends a digest now, as after a change that others need at once. */
   tell(): void {
-    this.#digests.tell();
+    this.#digests.sendNow();
   }
 
-  /** The list of instances was read. */
+  /** Adds the instances on the list. */
   listed(profiles: readonly InstanceProfile[]): void {
-    this.#peers.listed(profiles, this.#opts.clock.now());
+    this.#peers.onInstanceList(profiles, this.#opts.clock.now());
   }
 
-  /** The other instances that take callers. */
+  /** The other instances that are serving. */
   serving(): readonly InstanceProfile[] {
     const near = this.#peers.serving().map((p) => p.profile);
-    const far = this.#feed.isRelayed
+    const far = this.#feed.followsRelay
       ? this.#relayFollower.farServing
       : this.#zones.serving();
     return [...near, ...far];
   }
 
-  /** Passes on changes to the peers that do not watch the store themselves. */
+  /** Sends changes to the peers that do not watch the store. */
   relay(batch: RelayedChanges): void {
     const to = this.#peers.watchPeers().filter((n) =>
       !n.suspect && !n.isStoreWatcher
@@ -218,7 +217,7 @@
     this.#datagrams.send("changes", addresses, encodeChanges(batch));
   }
 
-  /** Instances that know of a change of a kind, those of the zone first. */
+  /** Instances that received a revision of a kind, those of the zone first. */
   knowing(kind: string, revision: number): readonly InstanceProfile[] {
     const known = this.#peers.peers().filter((p) =>
       !p.suspect && p.state !== "leaving" &&
@@ -234,17 +233,16 @@
     await this.#datagrams.close();
   }
 
-  /** Whether this instance is the zone's relay. */
-  get #relays(): boolean {
-    return !this.#peers.isMesh && this.#current.isRelay;
+  get #isRelay(): boolean {
+    return !this.#peers.isMesh && this.#currentRoles.isRelay;
   }
 
-  /** Whom this instance tells of itself. */
+  /** Recipients of this instance's digest. */
   #recipients(seq: number): readonly InstanceProfile[] {
-    const everybody = this.#peers.isMesh ||
+    const toAllPeers = this.#peers.isMesh ||
       this.#peers.zonePeers().every((m) => m.suspect);
-    return everybody
-      ? toTell(this.#peers.peers(), seq)
+    return toAllPeers
+      ? gossipRecipients(this.#peers.peers(), seq)
       : this.#relayCandidates();
   }
 
@@ -252,7 +250,7 @@
     return this.#relayCandidates().map((candidate) => candidate.digestAddress);
   }
 
-  /** The others of the zone to which all of it report. */
+  /** The relay and its standby, without this instance. */
   #relayCandidates(): readonly InstanceProfile[] {
     const zonePeers = this.#peers.zonePeers();
     const relayCandidates = this.#roles.relayCandidates(zonePeers);
@@ -261,9 +259,9 @@
     );
   }
 
-  /** Another zone's digest goes to whoever relays, or may have to soon. */
-  #passOn(zone: ZoneId, bytes: Uint8Array): void {
-    if (this.#relays) return this.#relay.keep(zone, bytes);
+  /** Sends another zone's digest to the relay and its standby. */
+  #forwardZoneDigest(zone: ZoneId, bytes: Uint8Array): void {
+    if (this.#isRelay) return this.#relay.keepForStandby(zone, bytes);
     this.#datagrams.send(
       "zonePassedOn",
       this.#relayCandidateAddresses(),
@@ -275,13 +273,13 @@
     const { zone } = aggregate.relay;
     if (this.#peers.isMesh || !this.#peers.isOwnZone(zone)) return;
     const now = this.#opts.clock.now();
-    if (!this.#relays) return this.#relayFollower.take(aggregate, now);
-    // Of two relays one has to learn that the other is there.
-    this.#peers.heardRelay(aggregate, now);
+    if (!this.#isRelay) return this.#relayFollower.onAggregate(aggregate, now);
+    // If there are two relays, one has to detect the other to step down.
+    this.#peers.applyRelayStatus(aggregate, now);
   }
 
-  /** Works out roles after each digest, and relays where that is this one's. */
-  #period(digest: Digest): void {
+  /** Updates the roles after each digest, and publishes sums as the relay. */
+  #onDigestSent(digest: Digest): void {
     const now = this.#opts.clock.now();
     this.#zones.tick(now);
     this.#relayFollower.tick(now);
@@ -289,33 +287,33 @@
     if (this.#peers.isMesh) {
       for (const zone of this.#zones.zones()) this.#zones.forget(zone);
     }
-    const warm = this.#peers.isZoneHeard(now);
-    // How large the fleet is shows with the list.
-    const relayed = !this.#peers.isMesh || !this.#peers.isListed;
+    const isZoneReporting = this.#peers.isZoneReporting(now);
+    // Before the list is read the fleet size is unknown.
+    const viaRelays = !this.#peers.isMesh || !this.#peers.isListRead;
     const roles = this.#roles.update(
       this.#peers.zonePeers(),
       this.#peers.watchPeers(),
-      { now, warm, relayed },
+      { now, isZoneReporting, viaRelays },
     );
-    // The next speaks from the moment at which it hears that this one leaves.
+    // The successor relays as soon as it receives that this instance is leaving.
     const isRelay = roles.isRelay && digest.state !== "leaving";
-    this.#current = { ...roles, isRelay };
-    if (this.#relays || this.#peers.isMesh) this.#followGroups(now);
-    this.#opts.events.roles(this.#current);
-    if (!this.#relays) return;
+    this.#currentRoles = { ...roles, isRelay };
+    if (this.#isRelay || this.#peers.isMesh) this.#useDirectReports(now);
+    this.#opts.events.roles(this.#currentRoles);
+    if (!this.#isRelay) return;
     this.#relay.publish(digest, {
       reservations: this.#reservations,
       standby: this.#relayCandidateAddresses(),
     });
   }
 
-  #followGroups(now: number): void {
-    if (this.#feed.followGroups(now)) this.#relayFollower.reset();
+  #useDirectReports(now: number): void {
+    if (this.#feed.useDirectReports(now)) this.#relayFollower.reset();
   }
 
   #compose(seq: number, toNewcomer: boolean): Digest {
     const { profile, capacity, report } = this.#opts;
-    const { isStoreWatcher } = this.#current;
+    const { isStoreWatcher } = this.#currentRoles;
     const { reservations, limits, ...self } = report();
     this.#reservations = reservations;
     return {
@@ -326,40 +324,40 @@
       seq,
       storeInTouch: isStoreWatcher && self.storeInTouch,
       isStoreWatcher,
-      relays: this.#relays,
+      relays: this.#isRelay,
       capacity,
-      otherProfiles: this.#someOthers(
-        toNewcomer ? OTHERS_TOLD_NEWCOMERS : OTHERS_TOLD,
+      otherProfiles: this.#sampleProfiles(
+        toNewcomer ? OTHER_PROFILES_FOR_NEWCOMERS : OTHER_PROFILES_PER_DIGEST,
       ),
     };
   }
 
-  #someOthers(most: number): InstanceProfile[] {
-    const heard = [
+  #sampleProfiles(most: number): InstanceProfile[] {
+    const known = [
       ...this.#peers.peers().filter((p) => !p.unreachable),
-      ...this.#peers.far(),
+      ...this.#peers.peersTrackedByZone(),
     ];
-    return someOf(heard, most, this.#opts.random).map((p) => p.profile);
+    return someOf(known, most, this.#opts.random).map((p) => p.profile);
   }
 
   #reported(digest: Digest, now: number): void {
     const { profile, seq } = digest;
     const limits = observedLimits(digest.limits, now);
-    const news = { ...digest, limits, group: profile.id, instances: 1 };
-    if (this.#peers.isOwnZone(profile.zone)) this.#relay.reportPeer(news, seq);
-    this.#feed.reported(news, now);
+    const report = { ...digest, limits, group: profile.id, instances: 1 };
+    if (this.#peers.isOwnZone(profile.zone)) this.#relay.onReport(report, seq);
+    this.#feed.reported(report, now);
   }
 
   #onZoneDigest(digest: ZoneDigest, now: number): void {
     const { zone, relay, start } = digest;
-    const news = {
+    const report = {
       ...digest,
       limits: observedLimits(digest.limits, now),
       group: zoneGroupId(zone),
       start: `${relay} ${start}`,
     };
-    this.#relay.reportZone(news);
-    this.#feed.reported(news, now);
+    this.#relay.onZoneReport(report);
+    this.#feed.reported(report, now);
   }
 
   #suspect(group: InstanceId): void {
--- a/src/fleet/fleet_member_test.ts
+++ b/src/fleet/fleet_member_test.ts
@@ -5,16 +5,16 @@
 import { MemberFleet, type TestMember } from "./testing/member_fleet.ts";
 
 const ZONES = ["a1", "a2", "b1", "b2", "c1", "c2"];
-/** Enough in all to be told of by zone. */
+/** Enough instances in total that zones have relays. */
 const PER_ZONE = 5;
 const ACCOUNT = "importers" as AccountId;
 const E1 = "e1" as EndpointId;
-const SETTLED_MS = 6_000;
+const SETTLE_TIME_MS = 6_000;
 
 async function fleetOf(perZone: number): Promise<MemberFleet> {
   const fleet = new MemberFleet(ZONES, perZone);
   await Promise.resolve();
-  fleet.pass(SETTLED_MS);
+  fleet.pass(SETTLE_TIME_MS);
   return fleet;
 }
 
@@ -22,7 +22,7 @@
   member.uses.set(ACCOUNT, { perS, admitted, level: 0 });
 }
 
-/** All that a member was told of an account, itself left out. */
+/** Sum of an account's usage as reported to a member, without its own. */
 function reported(member: TestMember): { perS: number; admitted: number } {
   let perS = 0;
   let admitted = 0;
@@ -33,16 +33,16 @@
   return { perS, admitted };
 }
 
-test("a small fleet tells everybody everything one by one", async (t) => {
+test("a small fleet gossips in a full mesh", async (t) => {
   const fleet = await fleetOf(2);
   for (const member of fleet.members) {
     t.is(member.groups.size, fleet.members.length - 1);
   }
 });
 
-test("in a small fleet two instances of each region ask the store", async (t) => {
-  // Zones have one or two instances each. Were each zone to ask for itself, all
-  // would, and each change of an endpoint would cost as many calls.
+test("in a small fleet two instances of each region watch the store", async (t) => {
+  // With one or two instances per zone, watchers per zone would mean that all
+  // instances watch, and each endpoint change would cost as many calls.
   const fleet = await fleetOf(2);
   for (const region of ["a", "b", "c"]) {
     const members = fleet.members.filter((m) => m.profile.region === region);
@@ -51,7 +51,7 @@
   }
 });
 
-test("in a small fleet a change reaches the region, whatever zone read it", async (t) => {
+test("in a small fleet a change is relayed across the zones of the region", async (t) => {
   const fleet = await fleetOf(2);
   const batch: RelayedChanges = {
     kind: "endpoints",
@@ -68,9 +68,9 @@
   t.true(got.every((m) => !m.roles.isStoreWatcher));
 });
 
-test("in a small fleet others ask when a zone with those that do is lost", async (t) => {
-  // The zone loses power. Endpoints' drains must be in force two seconds after
-  // the store has them.
+test("in a small fleet others watch the store after the watchers' zone fails", async (t) => {
+  // Drains of endpoints must take effect within two seconds after they are
+  // stored, even when a zone loses power.
   const fleet = await fleetOf(2);
   const members = fleet.members.filter((m) => m.profile.region === "c");
   for (const member of members) {
@@ -82,36 +82,36 @@
   t.true(alive.every((m) => m.roles.isStoreWatcher));
 });
 
-/** Instances of which a member knows, itself included. */
-function instancesKnown(member: TestMember): number {
+/** Number of instances known to a member, including itself. */
+function knownInstanceCount(member: TestMember): number {
   return [...member.groups.values()]
     .reduce((n, { instances }) => n + instances, 1);
 }
 
-test("in a large fleet relays hear groups, and the others one sum of them", async (t) => {
+test("in a large fleet relays receive group reports, and the others one sum", async (t) => {
   const fleet = await fleetOf(PER_ZONE);
   for (const member of fleet.members) {
     const groups = member.roles.isRelay ? PER_ZONE - 1 + ZONES.length - 1 : 1;
     t.is(member.groups.size, groups);
-    t.is(instancesKnown(member), fleet.members.length);
+    t.is(knownInstanceCount(member), fleet.members.length);
     t.is(member.member.serving().length, fleet.members.length - 1);
   }
 });
 
-test("two instances of each zone ask the store, the strongest, and one speaks", async (t) => {
-  // Every instance that asks is woken by every change, at a price for each.
+test("the two largest instances of each zone watch the store, and one relays", async (t) => {
+  // Every change wakes every watcher, at the cost of a call each.
   const fleet = await fleetOf(PER_ZONE);
   for (const zone of ZONES) {
     const members = fleet.of(zone);
-    const asking = members.filter((m) => m.roles.isStoreWatcher);
-    t.deepEqual(asking, members.slice(0, 2));
+    const watchers = members.filter((m) => m.roles.isStoreWatcher);
+    t.deepEqual(watchers, members.slice(0, 2));
     t.is(members.filter((m) => m.roles.isRelay).length, 1);
   }
 });
 
-test("what an instance sends does not grow with the other zones' instances", async (t) => {
-  // Told one by one, 30 instances send each other 3,500 datagrams a second, of
-  // which two in three cross between regions; 78 instances seven times as many.
+test("an instance's traffic does not grow with the size of the other zones", async (t) => {
+  // In a full mesh, 30 instances send 3,500 datagrams a second, of which two in
+  // three cross between regions; 78 instances send seven times as many.
   const fleet = await fleetOf(PER_ZONE);
   const before = { ...fleet.sent };
   fleet.pass(1_000);
@@ -121,15 +121,15 @@
   t.true(across < 50_000, `${across} bytes a second between regions`);
 });
 
-test("what all instances ask and admit is known everywhere", async (t) => {
+test("demand and admissions of all instances are known everywhere", async (t) => {
   const fleet = await fleetOf(PER_ZONE);
   for (const member of fleet.members) use(member, 1, 10);
   fleet.pass(2_000);
   const before = fleet.members.map((member) => reported(member).admitted);
   for (const member of fleet.members) use(member, 1, 15);
   fleet.pass(2_000);
-  // Counts are read as differences: what was admitted before an instance first
-  // heard of an account is in the level that it is told.
+  // Counters are compared by their increase: admissions before the first report
+  // of an account are part of the reported level.
   for (const [i, member] of fleet.members.entries()) {
     t.is(Math.round(reported(member).perS), fleet.members.length - 1);
     const more = reported(member).admitted - (before[i] ?? 0);
@@ -137,9 +137,9 @@
   }
 });
 
-test("a restart in another zone does not look like requests taken back", async (t) => {
-  // Counts begin anew with a start. Other zones would take the difference for
-  // tokens that are there again, and admit them a second time.
+test("a restart in another zone does not lower the admission counters", async (t) => {
+  // Counters restart from zero. Other zones would treat the difference as
+  // returned tokens and admit those requests a second time.
   const fleet = await fleetOf(PER_ZONE);
   for (const member of fleet.members) use(member, 1, 10);
   fleet.pass(1_000);
@@ -151,9 +151,9 @@
   t.true(reported(one!).admitted >= before);
 });
 
-test("a zone is heard on when its speaker dies", async (t) => {
-  // The speaker loses power. The others of its zone go on serving, and callers
-  // are sent to them on.
+test("a zone keeps reporting after its relay fails", async (t) => {
+  // The other instances of the zone keep serving, and callers must still be sent
+  // to them.
   const fleet = await fleetOf(PER_ZONE);
   const relay = fleet.of("b1").find((m) => m.roles.isRelay)!;
   fleet.kill(relay);
@@ -164,31 +164,31 @@
   t.false(serving.includes(relay.profile.id));
 });
 
-test("another asks the store when one that does dies or is turned away", async (t) => {
-  // Endpoints' drains must be in force two seconds after the store has them.
+test("another instance watches the store when a watcher fails or is rejected", async (t) => {
+  // Drains of endpoints must take effect within two seconds after they are stored.
   const fleet = await fleetOf(PER_ZONE);
   const [first, second, ...weaker] = fleet.of("c1");
   fleet.kill(first!);
   second!.storeInTouch = false;
   fleet.pass(1_500);
-  const asking = () => weaker.filter((m) => m.roles.isStoreWatcher).length;
-  t.true(asking() >= 2);
-  // A third may have stepped in before it heard of the second.
+  const watchers = () => weaker.filter((m) => m.roles.isStoreWatcher).length;
+  t.true(watchers() >= 2);
+  // A third may have taken over before it received that the second did.
   fleet.pass(4_000);
-  t.is(asking(), 2);
+  t.is(watchers(), 2);
 });
 
-test("while the store is away for all, few ask in vain", async (t) => {
+test("during a store outage few instances keep watching", async (t) => {
   const fleet = await fleetOf(PER_ZONE);
   for (const member of fleet.members) member.storeInTouch = false;
   fleet.pass(10_000);
   for (const zone of ZONES) {
-    const asking = fleet.of(zone).filter((m) => m.roles.isStoreWatcher);
-    t.true(asking.length <= 5, `${asking.length} ask`);
+    const watchers = fleet.of(zone).filter((m) => m.roles.isStoreWatcher);
+    t.true(watchers.length <= 5, `${watchers.length} watchers`);
   }
 });
 
-test("changes in the store go to the instances of the zone that do not ask", async (t) => {
+test("store changes are relayed to the zone's instances that do not watch", async (t) => {
   const fleet = await fleetOf(PER_ZONE);
   const [first] = fleet.of("a1");
   const batch: RelayedChanges = {
@@ -204,11 +204,11 @@
   const got = fleet.members.filter((m) => m.relayed.length > 0);
   t.deepEqual(got, fleet.of("a1").slice(2));
   t.deepEqual(got[0]?.relayed[0], batch);
-  // Too large for a datagram: announced, to be fetched.
+  // Too large for a datagram: the change is announced and has to be fetched.
   t.is(got[0]?.relayed[1]?.changes, undefined);
 });
 
-test("requests in flight of a zone's instances are summed", async (t) => {
+test("requests in flight are summed over a zone's instances", async (t) => {
   const fleet = await fleetOf(PER_ZONE);
   const endpoint = "e1" as EndpointId;
   for (const member of fleet.of("b2")) member.inFlight.set(endpoint, 2);
@@ -219,37 +219,37 @@
   t.is(sum, 2 * PER_ZONE);
 });
 
-test("bytes that are no datagram of ours change nothing", async (t) => {
-  // Anything can reach an open port.
+test("invalid datagrams are ignored", async (t) => {
+  // Any host can send to an open port.
   const fleet = await fleetOf(PER_ZONE);
   const [one] = fleet.of("a1");
   const before = one!.groups.size;
   for (let sort = 0; sort < 8; sort++) {
     for (const text of ["", "{", "null", "[]", `{"k":1}`, `{"k":"plans"}`]) {
-      one!.take(Buffer.from([sort, ...Buffer.from(text)]));
+      one!.receive(Buffer.from([sort, ...Buffer.from(text)]));
     }
   }
   t.is(one!.groups.size, before);
   t.deepEqual(one!.relayed, []);
 });
 
-test("the zone is heard on when the one that hands out dies", async (t) => {
-  // Everybody hears of everybody through one instance. It loses power; until
-  // the next hands out, shares of rates are set aside.
+test("a zone's instances know the whole fleet again after their relay fails", async (t) => {
+  // The relay is the only source of the others' state. Until its successor
+  // publishes, shares of rates are reserved.
   const fleet = await fleetOf(PER_ZONE);
   const candidate = fleet.of("a2").find((m) => m.roles.isRelay);
   const others = fleet.of("a2").filter((m) => m !== candidate);
   fleet.kill(candidate!);
   fleet.pass(2_000);
   for (const other of others) {
-    t.is(instancesKnown(other), fleet.members.length - 1);
+    t.is(knownInstanceCount(other), fleet.members.length - 1);
     t.is(other.member.serving().length, fleet.members.length - 2);
   }
 });
 
-test("a zone is heard on when its speaker leaves", async (t) => {
-  // The speaker is replaced. Were it heard until it ends, its zone would be
-  // suspect for a second then, with its share of every account's rate set aside.
+test("a zone keeps reporting while its relay leaves", async (t) => {
+  // If a leaving relay kept its role until it ends, its zone would be suspect for
+  // a second, with its share of every account's rate reserved.
   const fleet = await fleetOf(PER_ZONE);
   const relay = fleet.of("b1").find((m) => m.roles.isRelay);
   const one = fleet.of("a1").find((m) => m.roles.isRelay);
@@ -265,20 +265,20 @@
   t.is(serving.filter((id) => id.startsWith("b1")).length, PER_ZONE - 1);
 });
 
-// Guards against a first start that reads the store at every instance since
-// none serves before the first plan.
-test("an instance that has read a kind is asked for it before it serves", async (t) => {
+// Guards against a first start at which every instance reads the store because
+// no instance serves before the first plan.
+test("an instance that has read a kind is a source for it before it serves", async (t) => {
   const fleet = new MemberFleet(ZONES, PER_ZONE);
   for (const member of fleet.members) member.state = "starting";
   await Promise.resolve();
-  fleet.pass(SETTLED_MS);
+  fleet.pass(SETTLE_TIME_MS);
   const last = fleet.of("a1").at(-1)!;
   t.true(last.member.knowing("plans", 1).length > 0);
 });
 
-// Guards against a zone that hears of nobody for longer than a share of rates
-// may be left to instances that are cut off.
-test("the next relays within a second of a relay's end", async (t) => {
+// Guards against a zone without gossip for longer than partitioned instances may
+// keep their share of rates.
+test("a relay that fails is replaced within a second", async (t) => {
   const fleet = await fleetOf(PER_ZONE);
   const relay = fleet.of("c2").find((m) => m.roles.isRelay)!;
   fleet.kill(relay);
@@ -288,8 +288,8 @@
 });
 
 for (const perZone of [2, PER_ZONE]) {
-  // Guards against a limit that only the instances know that were told it.
-  test(`what one of ${ZONES.length * perZone} instances learns of a limit reaches all within a second`, async (t) => {
+  // Guards against a limit known only to the instances that received it.
+  test(`a limit seen by one of ${ZONES.length * perZone} instances reaches all within a second`, async (t) => {
     const fleet = await fleetOf(perZone);
     const [first, ...others] = fleet.members;
     const learnedAt = fleet.clock.now();
@@ -300,7 +300,7 @@
         limits.get(E1) ?? []
       );
       t.is(known[0]?.ratePerS, 6.6, profile.id);
-      // Older than that by the ways of digests at most.
+      // Its age may be off by the transit time of digests.
       t.true(Math.abs((known[0]?.at ?? 0) - learnedAt) <= 50, profile.id);
     }
   });
--- a/src/fleet/fleet_test.ts
+++ b/src/fleet/fleet_test.ts
@@ -9,7 +9,7 @@
 } from "./mod.ts";
 import { digest, profile } from "./testing/digest_fixtures.ts";
 
-/** A table that writes down what it tells. */
+/** A peer table and a record of its events. */
 function table(assumed = 1) {
   const events: string[] = [];
   const own = profile("i0");
@@ -22,7 +22,7 @@
   return { peers, events };
 }
 
-test("a digest is read as it was written", (t) => {
+test("an encoded digest is decoded unchanged", (t) => {
   const sent = digest("i1", {
     uses: new Map([["a1" as AccountId, { perS: 2.5, admitted: 9, level: -3 }]]),
     inFlight: new Map([["e1" as EndpointId, 4]]),
@@ -48,14 +48,14 @@
 ];
 
 for (const [name, text] of HOSTILE) {
-  test(`a datagram that is ${name} is no digest`, (t) => {
-    // Anything can reach an open port. It must neither end the process nor
-    // change what the instance believes.
+  test(`a datagram that is ${name} is rejected as a digest`, (t) => {
+    // Any host can send to an open port. An invalid datagram must neither crash
+    // the process nor change its state.
     t.true(decodeJsonDigest(Buffer.from(text)).isErr());
   });
 }
 
-test("numbers that make no sense are left out of a digest", (t) => {
+test("invalid numbers and rows in a digest are skipped", (t) => {
   const text = JSON.stringify({
     p: ["a", "b", "c", "d", "e"],
     s: "serving",
@@ -72,7 +72,7 @@
   t.deepEqual(read.otherProfiles, []);
 });
 
-test("an instance that is not heard turns suspect, then unreachable, then removed", (t) => {
+test("a silent instance becomes suspect, then unreachable, then is removed", (t) => {
   const { peers, events } = table();
   peers.heard(digest("i1"), 0);
   for (const now of [300, 500, 1_600, 61_000]) peers.tick(now);
@@ -85,9 +85,9 @@
   t.is(peers.fleetSize, 1);
 });
 
-test("a digest that comes late does not take back what a newer one told", (t) => {
-  // Datagrams overtake each other. An instance that leaves would be handed out
-  // to callers again.
+test("a late digest does not overwrite a newer one", (t) => {
+  // Datagrams can be reordered. Callers would again be sent to an instance that
+  // is leaving.
   const { peers, events } = table();
   peers.heard(digest("i1", { seq: 5, state: "leaving" }), 0);
   peers.heard(digest("i1", { seq: 4 }), 10);
@@ -97,17 +97,17 @@
   t.is(peers.serving().length, 1);
 });
 
-test("until the list is read the fleet counts as large as it may be", (t) => {
-  // An instance that starts while the store is away and thinks it is alone
-  // would take the whole rate of every account.
+test("until the instance list is read the assumed fleet size applies", (t) => {
+  // An instance that starts during a store outage and counts only itself would
+  // use the whole rate of every account.
   const { peers } = table(12);
   peers.heard(digest("i1"), 0);
   t.is(peers.fleetSize, 12);
-  peers.listed([profile("i1"), profile("i2")], 0);
+  peers.onInstanceList([profile("i1"), profile("i2")], 0);
   t.is(peers.fleetSize, 3);
 });
 
-test("instances are learned from the digests of others", (t) => {
+test("instances listed in digests are added", (t) => {
   const { peers } = table();
   peers.heard(
     digest("i1", { otherProfiles: [profile("i2"), profile("i0")] }),
@@ -116,20 +116,20 @@
   t.deepEqual(peers.peers().map((p) => p.profile.id).sort(), ["i1", "i2"]);
 });
 
-test("callers are sent to instances of their region that take callers", (t) => {
+test("callers get the serving instances of their region", (t) => {
   const { peers } = table();
   const own = { profile: profile("i0"), state: "serving" as const };
   peers.heard(digest("i1"), 0);
   peers.heard(digest("i2", { state: "leaving" }), 0);
   peers.heard(digest("i3", { profile: profile("i3", "delta") }), 0);
-  const ask = (name: string) => {
+  const addressesFor = (name: string) => {
     const serving = peers.serving().map((p) => p.profile);
     return callerAddresses(serving, own, name as RegionId);
   };
-  t.deepEqual(ask("gulf"), ["i0:80", "i1:80"]);
-  t.deepEqual(ask("delta"), ["i3:80"]);
+  t.deepEqual(addressesFor("gulf"), ["i0:80", "i1:80"]);
+  t.deepEqual(addressesFor("delta"), ["i3:80"]);
   const all = ["i0:80", "i1:80", "i3:80"];
-  t.deepEqual(ask("piedmont"), all);
+  t.deepEqual(addressesFor("piedmont"), all);
   peers.tick(2_000);
-  t.deepEqual(ask("delta"), ["i0:80"]);
+  t.deepEqual(addressesFor("delta"), ["i0:80"]);
 });
--- a/src/fleet/mod.ts
+++ b/src/fleet/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The instances among themselves: who lives, and what they tell each other.
+ * Membership and gossip among the instances.
  *
  * @module
  */
--- a/src/fleet/peer_table.ts
+++ b/src/fleet/peer_table.ts
@@ -1,5 +1,5 @@
 /**
- * The other instances, and which of them live.
+ * Membership table: the other instances, and which of them are reachable.
  *
  * @module
  */
@@ -14,74 +14,72 @@
 import type { InstanceProfile, InstanceState } from "./instance_profile.ts";
 
 /**
- * Without a digest for this long an instance's share of rates is set aside, in
- * milliseconds: one digest and a half. If it is cut off, callers may already
- * press on both sides, and shares that follow their demand would add up to more
- * than the rate.
+ * After this long without a digest an instance is suspect and its share of
+ * rates is reserved: one and a half digest periods. If it is partitioned, callers
+ * may load both sides, and demand-based shares would exceed the rate in total.
  */
 export const SUSPECT_AFTER_MS = 400;
 /**
- * The same where digests are handed out by one instance of the zone, in
- * milliseconds: a digest and a half, each up to a period later.
+ * The same for the relay, and for instances that report directly, where a relay
+ * distributes digests: one and a half digests, each up to a period later.
  */
-export const SUSPECT_AGGREGATED_MS = 700;
+export const RELAY_MODE_SUSPECT_AFTER_MS = 700;
 /**
- * The same of an instance that is known through the zone's relay, in
- * milliseconds: until another relays where the last one died. Judged sooner,
- * all would seem gone at once, and each instance would watch the store for
- * itself.
+ * The same for an instance that is reported by the zone's relay: time for
+ * another instance to take over from a relay that died. With a shorter timeout
+ * all would become suspect at once and every instance would watch the store.
  */
-const SUSPECT_RELAYED_MS = 1_300;
+const RELAYED_SUSPECT_AFTER_MS = 1_300;
 /**
- * Without a digest for this long an instance counts as unreachable, in
- * milliseconds: six digests in a row. Callers are not sent to it any more.
+ * After this long without a digest, six in a row, an instance is unreachable:
+ * callers are no longer sent to it.
  */
 export const UNREACHABLE_AFTER_MS = 1_500;
 /**
- * An unreachable instance is left out of the fleet's size after this, in
- * milliseconds. Until then it may be alive behind a partition and spend its
- * part of rates and budgets; a restart takes a few seconds.
+ * After this long an unreachable instance no longer counts in the fleet size.
+ * Until then it may be alive behind a partition and spend its part of rates and
+ * budgets; a restart takes a few seconds.
  */
 export const REMOVED_AFTER_MS = 60_000;
 /**
- * Up to this many instances tell each other everything one by one. Each sends
- * and takes in four messages a second for each other one: at 24 that is 2% of a
- * small core. Beyond, instances of other zones are told of by zone.
+ * Up to this many instances gossip in a full mesh. Each sends and receives four
+ * messages a second per peer: at 24 that is 2% of a small core. In larger fleets
+ * instances of other zones are reported by zone.
  */
-export const MOST_IN_MESH = 24;
+export const MAX_MESH_INSTANCES = 24;
 
-/** Part of a zone's instances whose reports make its sums nearly whole. */
-const MOST_OF_ZONE = 0.8;
+/** Fraction of a zone's instances whose reports make its sums nearly complete. */
+const MIN_ZONE_COVERAGE = 0.8;
 
-/** Another instance as this one knows it. */
+/** Last known state of another instance. */
 export interface Peer {
   profile: InstanceProfile;
   state: InstanceState;
   start: string;
   seq: number;
-  /** When it was last heard; never if undefined. */
-  heardAt: number | undefined;
-  /** When it was last heard of. */
-  knownAt: number;
+  /** Time of its last report, direct or relayed; undefined if there was none. */
+  lastReportAt: number | undefined;
+  /** When it was added or, while tracked by zone, last mentioned. */
+  lastMentionAt: number;
   suspect: boolean;
   unreachable: boolean;
-  /** How much it can carry, compared with the others. */
+  /** Capacity relative to the other instances. */
   capacity: number;
-  /** Whether it asks the store itself, and whether the store answers. */
+  /** Whether it watches the store, and whether the store responds. */
   isStoreWatcher: boolean;
   storeInTouch: boolean;
-  /** Whether it relays what its zone and the other zones report. */
+  /** Whether it is its zone's relay. */
   relays: boolean;
-  /** When its own digest last came, not through a relay; never if undefined. */
-  directAt: number | undefined;
-  /** Revision of the last change that it knows of, by kind. */
+  /** Time of its last message that no relay forwarded; undefined if none. */
+  lastDirectReportAt: number | undefined;
+  /** Revision of the last change it received, by kind. */
   changes: ReadonlyMap<string, number>;
 }
 
-/** What a relay says of its zone. */
+/** The part of an aggregate that describes the relay's zone. */
 type ZoneReport = Pick<FleetAggregate, "relay" | "members" | "changes">;
 
-/** What an instance reports of its state. */
+/** State that an instance reports of itself. */
 type PeerStatus = Pick<
   Peer,
   | "state"
@@ -92,59 +90,58 @@
   | "changes"
 >;
 
-/** What changes among the instances. */
+/** Receives reports and state changes of the other instances. */
 export interface PeerEvents {
-  /** A digest came that is newer than the last. */
+  /** A digest newer than the last one arrived. */
   reported(digest: Digest, now: number): void;
-  /** An instance was not heard lately; it may be cut off. */
+  /** Reports of an instance are overdue; it may be partitioned. */
   suspect(peer: Peer): void;
-  /** An instance is heard no more. */
   unreachable(peer: Peer): void;
-  /** An instance is taken to have ended. */
+  /** An instance is considered ended, or is now tracked by zone. */
   removed(peer: Peer): void;
 }
 
-/** Who and where this instance is. */
-export interface OwnPlace {
+/** Identity and location of this instance. */
+export interface OwnLocation {
   readonly id: InstanceId;
   readonly zone: ZoneId;
   readonly region: RegionId;
 }
 
-/** Instances known from the list, from digests and from hearsay. */
+/** Instances known from the instance list and from gossip. */
 export class PeerTable {
-  readonly #own: OwnPlace;
+  readonly #own: OwnLocation;
   readonly #events: PeerEvents;
   readonly #peers = new Map<InstanceId, Peer>();
-  /** Instances by the hash of their id; the last that was learned. */
+  /** Ids by their hash; on a collision the last one added. */
   readonly #byHash = new Map<number, InstanceId>();
-  /** The fleet is taken to be at least this large until the list was read. */
-  #assumed: number;
+  /** Minimum fleet size assumed until the instance list is read, then 1. */
+  #assumedSize: number;
   #wasMesh = true;
 
   constructor(
-    own: OwnPlace,
-    assumed: number,
+    own: OwnLocation,
+    assumedSize: number,
     events: PeerEvents,
   ) {
     this.#own = own;
-    this.#assumed = assumed;
+    this.#assumedSize = assumedSize;
     this.#events = events;
   }
 
   /** Instances that may be serving, this one included. */
   get fleetSize(): number {
-    return Math.max(this.#assumed, this.#peers.size + 1);
+    return Math.max(this.#assumedSize, this.#peers.size + 1);
   }
 
-  /** Whether the list of instances was read. */
-  get isListed(): boolean {
-    return this.#assumed === 1;
+  /** Whether the instance list was read. */
+  get isListRead(): boolean {
+    return this.#assumedSize === 1;
   }
 
-  /** Whether all instances tell each other everything one by one. */
+  /** Whether all instances gossip with each other directly. */
   get isMesh(): boolean {
-    return this.#peers.size < MOST_IN_MESH;
+    return this.#peers.size < MAX_MESH_INSTANCES;
   }
 
   isZonePeer(id: InstanceId): boolean {
@@ -156,9 +153,9 @@
     return zone === this.#own.zone;
   }
 
-  /** Instances that are told of one by one. */
+  /** Instances that are tracked individually. */
   peers(): readonly Peer[] {
-    return [...this.#peers.values()].filter((p) => !this.#isFar(p));
+    return [...this.#peers.values()].filter((p) => !this.#isTrackedByZone(p));
   }
 
   /** The other instances of this zone. */
@@ -168,9 +165,9 @@
   }
 
   /**
-   * The others among which a few ask the store for all, and are told by them:
-   * those of the region while all are heard one by one, so that a zone with one
-   * or two instances need not ask for itself, else those of the zone.
+   * The peers with which this instance shares watchers of the store: those of
+   * the region in a full mesh, so that a zone with one or two instances needs no
+   * watcher of its own, else those of the zone.
    */
   watchPeers(): readonly Peer[] {
     if (!this.isMesh) return this.zonePeers();
@@ -178,27 +175,27 @@
       .filter((p) => p.profile.region === this.#own.region);
   }
 
-  /** Instances of other zones, as far as they are told of by zone. */
-  far(): readonly Peer[] {
-    return [...this.#peers.values()].filter((p) => this.#isFar(p));
+  /** Instances of other zones, unless they are tracked individually. */
+  peersTrackedByZone(): readonly Peer[] {
+    return [...this.#peers.values()].filter((p) => this.#isTrackedByZone(p));
   }
 
-  #isFar({ profile }: Peer): boolean {
+  #isTrackedByZone({ profile }: Peer): boolean {
     return !this.isMesh && !this.isOwnZone(profile.zone);
   }
 
-  /** Who an instance is, by the hash of its id. */
+  /** Profile of an instance, by the hash of its id. */
   profileOf(idHash: number): InstanceProfile | undefined {
     const id = this.#byHash.get(idHash);
     return id === undefined ? undefined : this.#peers.get(id)?.profile;
   }
 
-  /** Adds an instance that was heard of. */
-  learn(profile: InstanceProfile, now: number): void {
+  /** Adds an instance from the list or from gossip, unless it is known. */
+  add(profile: InstanceProfile, now: number): void {
     if (profile.id === this.#own.id) return;
     const known = this.#peers.get(profile.id);
     if (known !== undefined) {
-      if (this.#isFar(known)) known.knownAt = now;
+      if (this.#isTrackedByZone(known)) known.lastMentionAt = now;
       return;
     }
     this.#byHash.set(hash(profile.id), profile.id);
@@ -207,52 +204,52 @@
       state: "starting",
       start: "",
       seq: -1,
-      heardAt: undefined,
-      knownAt: now,
+      lastReportAt: undefined,
+      lastMentionAt: now,
       suspect: true,
       unreachable: true,
       capacity: 0,
       isStoreWatcher: false,
       storeInTouch: false,
       relays: false,
-      directAt: undefined,
+      lastDirectReportAt: undefined,
       changes: new Map(),
     });
   }
 
-  /** The list of instances was read: the fleet's size is known. */
-  listed(profiles: readonly InstanceProfile[], now: number): void {
-    for (const profile of profiles) this.learn(profile, now);
-    this.#assumed = 1;
+  /** Adds the instances on the list, from which the fleet size is known. */
+  onInstanceList(profiles: readonly InstanceProfile[], now: number): void {
+    for (const profile of profiles) this.add(profile, now);
+    this.#assumedSize = 1;
   }
 
-  /** Takes in a digest; one that is not newer than the last is dropped. */
+  /** Applies a digest; one that is not newer than the last is dropped. */
   heard(digest: Digest, now: number): void {
     const { profile } = digest;
     if (profile.id === this.#own.id) return;
-    this.learn(profile, now);
-    for (const other of digest.otherProfiles) this.learn(other, now);
+    this.add(profile, now);
+    for (const other of digest.otherProfiles) this.add(other, now);
     const peer = this.#peers.get(profile.id);
     if (peer === undefined) return;
-    if (this.#isFar(peer)) return;
+    if (this.#isTrackedByZone(peer)) return;
     if (peer.start === digest.start && digest.seq <= peer.seq) return;
     peer.profile = profile;
     peer.start = digest.start;
     peer.seq = digest.seq;
-    peer.directAt = now;
+    peer.lastDirectReportAt = now;
     this.#update(peer, digest, now);
     this.#events.reported(digest, now);
   }
 
-  /** Takes in what a relay of the zone says of itself. */
-  heardRelay(aggregate: ZoneReport, now: number): void {
+  /** Applies only the relay's own state from an aggregate of its zone. */
+  applyRelayStatus(aggregate: ZoneReport, now: number): void {
     const { relay, members } = aggregate;
-    this.learn(relay, now);
-    const itself = members.find(({ idHash }) => idHash === hash(relay.id));
-    if (itself !== undefined) this.#relayed(itself, aggregate, now);
+    this.add(relay, now);
+    const member = members.find(({ idHash }) => idHash === hash(relay.id));
+    if (member !== undefined) this.#applyMember(member, aggregate, now);
   }
 
-  #relayed(
+  #applyMember(
     { idHash, upToDate, ...status }: AggregateMember,
     { relay, changes }: ZoneReport,
     now: number,
@@ -262,22 +259,22 @@
     if (peer === undefined || !this.isOwnZone(peer.profile.zone)) return;
     const known = upToDate ? changes : peer.changes;
     this.#update(peer, { ...status, changes: known }, now);
-    if (peer.profile.id === relay.id) peer.directAt = now;
+    if (peer.profile.id === relay.id) peer.lastDirectReportAt = now;
   }
 
   /**
-   * Takes in all that the zone's relay hears of the zone. An instance that it
-   * does not name may be cut off.
+   * Applies the states that the zone's relay reports. An instance it does not
+   * list may be partitioned.
    */
-  heardZone(aggregate: ZoneReport, now: number): void {
+  applyZoneStatus(aggregate: ZoneReport, now: number): void {
     const { members } = aggregate;
     const named = new Set(members.map((m) => this.#byHash.get(m.idHash)));
-    for (const member of members) this.#relayed(member, aggregate, now);
+    for (const member of members) this.#applyMember(member, aggregate, now);
     for (const peer of this.zonePeers()) {
-      const unheardMs = now - (peer.directAt ?? -Infinity);
-      const heard = named.has(peer.profile.id) ||
-        unheardMs <= SUSPECT_AGGREGATED_MS;
-      if (!heard) this.#suspect(peer);
+      const silentMs = now - (peer.lastDirectReportAt ?? -Infinity);
+      const isReporting = named.has(peer.profile.id) ||
+        silentMs <= RELAY_MODE_SUSPECT_AFTER_MS;
+      if (!isReporting) this.#suspect(peer);
     }
   }
 
@@ -287,18 +284,18 @@
     this.#events.suspect(peer);
   }
 
-  /** An instance of another zone is still there. */
+  /** Records that an instance of another zone is alive; returns its profile. */
   refresh(idHash: number, now: number): InstanceProfile | undefined {
     const id = this.#byHash.get(idHash);
     const peer = id === undefined ? undefined : this.#peers.get(id);
-    if (peer === undefined || !this.#isFar(peer)) return undefined;
-    peer.knownAt = now;
+    if (peer === undefined || !this.#isTrackedByZone(peer)) return undefined;
+    peer.lastMentionAt = now;
     return peer.profile;
   }
 
   #update(peer: Peer, status: PeerStatus, now: number): void {
     peer.state = status.state;
-    peer.heardAt = now;
+    peer.lastReportAt = now;
     peer.suspect = false;
     peer.unreachable = false;
     peer.capacity = status.capacity;
@@ -308,55 +305,60 @@
     peer.changes = status.changes;
   }
 
-  /** Looks for instances that became unreachable or have ended. */
+  /** Marks or removes instances whose last report is too old. */
   tick(now: number): void {
-    this.#followMode();
+    this.#updateMode();
     for (const peer of this.#peers.values()) {
-      const unheardMs = now - Math.max(peer.heardAt ?? 0, peer.knownAt);
-      const isFar = this.#isFar(peer);
-      if (!isFar && unheardMs > this.#suspectAfterMs(peer)) this.#suspect(peer);
-      if (!isFar && unheardMs > UNREACHABLE_AFTER_MS && !peer.unreachable) {
+      const silentMs = now -
+        Math.max(peer.lastReportAt ?? 0, peer.lastMentionAt);
+      const byZone = this.#isTrackedByZone(peer);
+      if (!byZone && silentMs > this.#suspectAfterMs(peer)) this.#suspect(peer);
+      if (
+        !byZone && silentMs > UNREACHABLE_AFTER_MS && !peer.unreachable
+      ) {
         peer.unreachable = true;
         this.#events.unreachable(peer);
       }
-      if (unheardMs > REMOVED_AFTER_MS) {
+      if (silentMs > REMOVED_AFTER_MS) {
         this.#peers.delete(peer.profile.id);
         this.#byHash.delete(hash(peer.profile.id));
-        if (!isFar) this.#events.removed(peer);
+        if (!byZone) this.#events.removed(peer);
       }
     }
   }
 
-  #suspectAfterMs({ heardAt, directAt }: Peer): number {
+  #suspectAfterMs({ lastReportAt, lastDirectReportAt }: Peer): number {
     if (this.isMesh) return SUSPECT_AFTER_MS;
-    return heardAt === directAt ? SUSPECT_AGGREGATED_MS : SUSPECT_RELAYED_MS;
+    return lastReportAt === lastDirectReportAt
+      ? RELAY_MODE_SUSPECT_AFTER_MS
+      : RELAYED_SUSPECT_AFTER_MS;
   }
 
   /**
-   * Once the fleet has outgrown the mesh, instances of other zones are told of
-   * by zone, and count no more one by one.
+   * Once the fleet is too large for a full mesh, instances of other zones are
+   * tracked by zone and no longer individually.
    */
-  #followMode(): void {
+  #updateMode(): void {
     if (this.#wasMesh === this.isMesh) return;
     this.#wasMesh = this.isMesh;
     if (this.isMesh) return;
-    for (const peer of this.far()) {
+    for (const peer of this.peersTrackedByZone()) {
       peer.suspect = true;
       peer.unreachable = true;
       this.#events.removed(peer);
     }
   }
 
-  /** Whether most of the zone's instances report to this one. */
-  isZoneHeard(now: number): boolean {
+  /** Whether most of the zone's live instances report to this one directly. */
+  isZoneReporting(now: number): boolean {
     const alive = this.zonePeers().filter((m) => !m.suspect);
     const direct = alive.filter((m) =>
-      now - (m.directAt ?? -Infinity) <= SUSPECT_AGGREGATED_MS
+      now - (m.lastDirectReportAt ?? -Infinity) <= RELAY_MODE_SUSPECT_AFTER_MS
     );
-    return direct.length >= alive.length * MOST_OF_ZONE;
+    return direct.length >= alive.length * MIN_ZONE_COVERAGE;
   }
 
-  /** Instances that are heard one by one and take callers. */
+  /** Individually tracked instances that are reachable and serving. */
   serving(): readonly Peer[] {
     return this.peers().filter((p) => !p.unreachable && p.state === "serving");
   }
--- a/src/fleet/peer_table_test.ts
+++ b/src/fleet/peer_table_test.ts
@@ -3,14 +3,14 @@
 import {
   type AggregateMember,
   PeerTable,
-  SUSPECT_AGGREGATED_MS,
+  RELAY_MODE_SUSPECT_AFTER_MS,
 } from "./mod.ts";
 import { digest, profile } from "./testing/digest_fixtures.ts";
 
-/** Enough instances, in other zones, that the zone has a relay. */
-const OTHERS = 24;
+/** Enough instances in other zones that the zone has a relay. */
+const OTHER_INSTANCES = 24;
 
-function tableOfZone() {
+function zoneTable() {
   const suspected: InstanceId[] = [];
   const table = new PeerTable(profile("i0"), 1, {
     reported: () => {},
@@ -18,8 +18,11 @@
     unreachable: () => {},
     removed: () => {},
   });
-  const far = Array.from({ length: OTHERS }, (_, i) => profile(`f${i}`, "bay"));
-  table.listed([profile("relay"), profile("zonePeer"), ...far], 0);
+  const far = Array.from(
+    { length: OTHER_INSTANCES },
+    (_, i) => profile(`f${i}`, "bay"),
+  );
+  table.onInstanceList([profile("relay"), profile("zonePeer"), ...far], 0);
   return { table, suspected };
 }
 
@@ -43,19 +46,20 @@
   changes: new Map(),
 };
 
-// Guards against a dead relay that is missed for as long as those it reported.
-test("a relay that becomes unreachable is suspected before those it reported", (t) => {
-  const { table, suspected } = tableOfZone();
+// Guards against a dead relay that becomes suspect only after the longer
+// timeout of the instances it reported.
+test("a silent relay becomes suspect before the instances it reported", (t) => {
+  const { table, suspected } = zoneTable();
   table.heard(digest("relay"), 0);
-  table.heardZone(AGGREGATE, 1);
-  table.tick(SUSPECT_AGGREGATED_MS + 2);
+  table.applyZoneStatus(AGGREGATE, 1);
+  table.tick(RELAY_MODE_SUSPECT_AFTER_MS + 2);
   t.deepEqual(suspected, ["relay" as InstanceId]);
 });
 
-// Guards against instances that stay in use after their relay lost them.
-test("an instance that the relay does not name any more is suspected", (t) => {
-  const { table, suspected } = tableOfZone();
-  table.heardZone(AGGREGATE, 1);
-  table.heardZone({ ...AGGREGATE, members: [member("relay")] }, 251);
+// Guards against instances that stay in use after the relay lost contact.
+test("an instance that the relay no longer lists becomes suspect", (t) => {
+  const { table, suspected } = zoneTable();
+  table.applyZoneStatus(AGGREGATE, 1);
+  table.applyZoneStatus({ ...AGGREGATE, members: [member("relay")] }, 251);
   t.deepEqual(suspected, ["zonePeer" as InstanceId]);
 });
--- a/src/fleet/relay_follower.ts
+++ b/src/fleet/relay_follower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows the zone's relay: takes the sums that it tells, less this instance's
- * own part.
+ * Follows the zone's relay: applies its sums, less this instance's own
+ * contribution.
  *
  * @module
  */
@@ -13,41 +13,39 @@
 import { observedLimits } from "./limit_rows.ts";
 import {
   type PeerTable,
-  SUSPECT_AGGREGATED_MS,
+  RELAY_MODE_SUSPECT_AFTER_MS,
   UNREACHABLE_AFTER_MS,
 } from "./peer_table.ts";
 
 /**
- * Another relay is followed once the last one is late by this much, in
- * milliseconds: a period and a half. Two may relay for a moment when one takes
- * over.
+ * Another relay is followed after this long without an aggregate of the last
+ * one: a period and a half. Two may relay for a moment during a takeover.
  */
-const REPLACED_AFTER_MS = 400;
-/** Own digests that are kept to be subtracted: four seconds of them. */
-const DIGESTS_KEPT = 16;
+const SWITCH_RELAY_AFTER_MS = 400;
+/** Own digests kept for subtraction: those of four seconds. */
+const MAX_SENT_DIGESTS = 16;
 
-/** What one digest of this instance added to the sums. */
-interface OwnPart extends Pick<Digest, "seq" | "uses" | "inFlight"> {
-  /** Requests admitted since the start, accounts out of use included. */
+/** What one digest of this instance contributes to the sums. */
+interface OwnContribution extends Pick<Digest, "seq" | "uses" | "inFlight"> {
+  /** Requests admitted since the start, including those of idle accounts. */
   readonly admitted: ReadonlyMap<RateLimitId, number>;
 }
 
-interface Followed {
+interface FollowedRelay {
   readonly id: InstanceId;
   readonly start: string;
   readonly seq: number;
-  readonly heardAt: number;
+  readonly lastAggregateAt: number;
 }
 
-/** Follows the relay at one instance. */
 export class RelayFollower {
   readonly #own: { readonly idHash: number; readonly startHash: number };
   readonly #peers: PeerTable;
   readonly #feed: FleetFeed;
-  readonly #sent: OwnPart[] = [];
-  /** What of the followed relay's counts is this instance's own. */
-  #counted: ReadonlyMap<RateLimitId, number> = new Map();
-  #relay: Followed | undefined;
+  readonly #sent: OwnContribution[] = [];
+  /** This instance's own part of the followed relay's counters. */
+  #ownAdmitted: ReadonlyMap<RateLimitId, number> = new Map();
+  #relay: FollowedRelay | undefined;
   #suspect = false;
   #unreachable = false;
   #farServing: readonly InstanceProfile[] = [];
@@ -61,92 +59,96 @@
     this.#feed = opts.feed;
   }
 
-  /** Other zones' instances that take callers, as the relay last named them. */
+  /** Serving instances of other zones, as the relay last listed them. */
   get farServing(): readonly InstanceProfile[] {
     return this.#unreachable ? [] : this.#farServing;
   }
 
-  /** Notes a digest of this instance, whose part of a sum is its own. */
+  /** Records a digest that this instance sent, to subtract it from the sums. */
   sent({ seq, uses, inFlight }: Digest): void {
     const admitted = new Map(this.#sent.at(-1)?.admitted);
     for (const [account, use] of uses) admitted.set(account, use.admitted);
     this.#sent.push({ seq, uses, inFlight, admitted });
-    if (this.#sent.length > DIGESTS_KEPT) this.#sent.shift();
+    if (this.#sent.length > MAX_SENT_DIGESTS) this.#sent.shift();
   }
 
-  /** Takes in an aggregate; one of a relay that is not followed is dropped. */
-  take(aggregate: FleetAggregate, now: number): void {
+  /** Applies an aggregate, unless it comes from a relay that is not followed. */
+  onAggregate(aggregate: FleetAggregate, now: number): void {
     const { relay, start, seq } = aggregate;
     for (const profile of [relay, ...aggregate.profiles]) {
-      this.#peers.learn(profile, now);
+      this.#peers.add(profile, now);
     }
-    if (!this.#follows(aggregate, now)) return;
-    this.#relay = { id: relay.id, start, seq, heardAt: now };
+    if (!this.#accepts(aggregate, now)) return;
+    this.#relay = { id: relay.id, start, seq, lastAggregateAt: now };
     this.#suspect = false;
     this.#unreachable = false;
-    this.#peers.heardZone(aggregate, now);
+    this.#peers.applyZoneStatus(aggregate, now);
     if (aggregate.farServing !== undefined) {
       this.#farServing = aggregate.farServing.flatMap((idHash) =>
         this.#peers.refresh(idHash, now) ?? []
       );
     }
-    this.#feed.onAggregate(this.#withoutOwn(aggregate, now), now);
+    this.#feed.onAggregate(this.#subtractOwn(aggregate, now), now);
   }
 
-  /** Looks whether the relay is late. */
+  /** Marks the relay suspect or unreachable if it is overdue. */
   tick(now: number): void {
-    if (this.#relay === undefined || !this.#feed.isRelayed) return;
-    const unheardMs = now - this.#relay.heardAt;
-    if (unheardMs > SUSPECT_AGGREGATED_MS && !this.#suspect) {
+    if (this.#relay === undefined || !this.#feed.followsRelay) return;
+    const silentMs = now - this.#relay.lastAggregateAt;
+    if (silentMs > RELAY_MODE_SUSPECT_AFTER_MS && !this.#suspect) {
       this.#suspect = true;
-      this.#feed.relaySuspect();
+      this.#feed.onRelaySuspect();
     }
-    if (unheardMs > UNREACHABLE_AFTER_MS && !this.#unreachable) {
+    if (silentMs > UNREACHABLE_AFTER_MS && !this.#unreachable) {
       this.#unreachable = true;
-      this.#feed.relayUnreachable();
+      this.#feed.onRelayUnreachable();
     }
   }
 
-  /** This instance follows no relay from now on. */
+  /** Stops following the relay. */
   reset(): void {
     this.#relay = undefined;
-    this.#counted = new Map();
+    this.#ownAdmitted = new Map();
     this.#farServing = [];
   }
 
-  #follows({ relay, start, seq }: FleetAggregate, now: number): boolean {
+  #accepts({ relay, start, seq }: FleetAggregate, now: number): boolean {
     const last = this.#relay;
     if (last === undefined) return true;
     if (last.id === relay.id && last.start === start) return seq > last.seq;
     const replaced = last.id === relay.id ||
-      now - last.heardAt > REPLACED_AFTER_MS;
+      now - last.lastAggregateAt > SWITCH_RELAY_AFTER_MS;
     if (!replaced) return false;
-    // The counts of two relays do not go together.
-    if (!this.#suspect) this.#feed.relaySuspect();
-    this.#counted = new Map();
+    // The counters of two relays cannot be combined.
+    if (!this.#suspect) this.#feed.onRelaySuspect();
+    this.#ownAdmitted = new Map();
     return true;
   }
 
-  #withoutOwn(aggregate: FleetAggregate, now: number): GroupReport {
+  #subtractOwn(aggregate: FleetAggregate, now: number): GroupReport {
     const { relay, start, storeInTouch, changes, reserved } = aggregate;
-    const own = this.#ownPart(aggregate);
-    // A relay that does not hear this instance any more still has its counts.
-    if (own !== undefined) this.#counted = own.admitted;
+    const own = this.#ownContribution(aggregate);
+    // A relay that lost this instance still includes its counters.
+    if (own !== undefined) this.#ownAdmitted = own.admitted;
     return {
       group: FLEET_GROUP,
       start: `${relay.id} ${start}`,
       instances: aggregate.instances - (own === undefined ? 0 : 1),
       storeInTouch,
       changes,
-      uses: lessUses(aggregate.uses, own?.uses ?? NO_USES, this.#counted),
-      inFlight: lessInFlight(aggregate.inFlight, own?.inFlight),
+      uses: subtractUses(
+        aggregate.uses,
+        own?.uses ?? NO_USES,
+        this.#ownAdmitted,
+      ),
+      inFlight: subtractInFlight(aggregate.inFlight, own?.inFlight),
       limits: observedLimits(aggregate.limits, now),
       reserved,
     };
   }
 
-  /** What of the sums is this instance's own; undefined if they lack it. */
-  #ownPart({ members }: FleetAggregate): OwnPart | undefined {
+  /** This instance's part of the sums; undefined if it is unknown. */
+  #ownContribution({ members }: FleetAggregate): OwnContribution | undefined {
     const { idHash, startHash } = this.#own;
     const row = members.find((m) => m.idHash === idHash);
     if (row === undefined || row.startHash !== startHash) return undefined;
@@ -154,16 +156,16 @@
   }
 }
 
-function lessUses(
+function subtractUses(
   sums: ReadonlyMap<RateLimitId, RateUse>,
   own: ReadonlyMap<RateLimitId, RateUse>,
-  counted: ReadonlyMap<RateLimitId, number>,
+  ownAdmitted: ReadonlyMap<RateLimitId, number>,
 ): ReadonlyMap<RateLimitId, RateUse> {
   const rest = new Map<RateLimitId, RateUse>();
   for (const [account, { perS, admitted, level }] of sums) {
     rest.set(account, {
       perS: Math.max(0, perS - (own.get(account)?.perS ?? 0)),
-      admitted: admitted - (counted.get(account) ?? 0),
+      admitted: admitted - (ownAdmitted.get(account) ?? 0),
       level,
     });
   }
@@ -172,7 +174,7 @@
 
 const NO_USES: ReadonlyMap<RateLimitId, RateUse> = new Map();
 
-function lessInFlight(
+function subtractInFlight(
   sums: ReadonlyMap<EndpointId, number>,
   own: ReadonlyMap<EndpointId, number> | undefined,
 ): ReadonlyMap<EndpointId, number> {
--- a/src/fleet/testing/member_fleet.ts
+++ b/src/fleet/testing/member_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Many members over a network in memory, on one clock that a test moves.
+ * Many members over an in-memory network, on one manual clock.
  *
  * @module
  */
@@ -31,7 +31,7 @@
   type Roles,
 } from "../mod.ts";
 
-/** One member, and what it was told. */
+/** One member and the events it received. */
 export interface TestMember {
   readonly profile: InstanceProfile;
   readonly capacity: number;
@@ -47,12 +47,12 @@
   storeInTouch: boolean;
   state: InstanceState;
   alive: boolean;
-  /** Cut off from all others. */
+  /** Partitioned from all others. */
   cut: boolean;
-  take: (bytes: Uint8Array) => void;
-  /** Parts that go by what is told; none by default. */
+  receive: (bytes: Uint8Array) => void;
+  /** Consumer of the events and source of reports; none by default. */
   takes?: {
-    readonly reported: (news: GroupReport, now: number) => void;
+    readonly reported: (report: GroupReport, now: number) => void;
     readonly suspect?: (group: InstanceId) => void;
     readonly removed?: (group: InstanceId) => void;
     readonly report: (now: number) => Map<RateLimitId, RateUse>;
@@ -68,9 +68,9 @@
     this.#entry = entry;
   }
 
-  reported(news: GroupReport, now: number): void {
-    this.#entry.groups.set(news.group, news);
-    this.#entry.takes?.reported(news, now);
+  reported(report: GroupReport, now: number): void {
+    this.#entry.groups.set(report.group, report);
+    this.#entry.takes?.reported(report, now);
   }
 
   suspect(group: InstanceId): void {
@@ -97,16 +97,16 @@
 }
 
 const STEP_MS = 10;
-const STRONG = 1.35;
-const WEAK = 0.27;
+const LARGE_CAPACITY = 1.35;
+const SMALL_CAPACITY = 0.27;
 
-/** A fleet of members; the first of each zone are the strong ones. */
+/** A fleet of members; the first two of each zone have the larger capacity. */
 export class MemberFleet {
   readonly clock = new ManualClock();
   readonly members: TestMember[] = [];
-  /** Datagrams sent, and of these such that cross between regions, in bytes. */
+  /** Datagrams and bytes sent, and bytes sent between regions. */
   readonly sent = { count: 0, bytes: 0, acrossBytes: 0 };
-  /** Names that all members know, as from the plan and the registry. */
+  /** Names known to all members, as from the plan and the registry. */
   readonly book = new NameDictionary();
   readonly #random = new SeededRandom(1);
   readonly #byAddress = new Map<string, TestMember>();
@@ -135,12 +135,12 @@
     for (let left = ms; left > 0; left -= STEP_MS) this.clock.advance(STEP_MS);
   }
 
-  /** Starts a member that was killed anew. */
+  /** Restarts a member that was killed. */
   restart(entry: TestMember): void {
     entry.groups.clear();
     entry.alive = true;
     entry.member = this.#member(entry, { firstStart: false });
-    // It takes what is sent to it from the next microtask on.
+    // Its transport delivers datagrams from the next microtask on.
     queueMicrotask(() => {
       entry.member.start();
       entry.member.listed(this.members.map((m) => m.profile));
@@ -158,7 +158,7 @@
     };
     const entry: Omit<TestMember, "member"> = {
       profile,
-      capacity: index < 2 ? STRONG : WEAK,
+      capacity: index < 2 ? LARGE_CAPACITY : SMALL_CAPACITY,
       groups: new Map(),
       relayed: [],
       suspect: [],
@@ -170,7 +170,7 @@
       state: "serving",
       alive: true,
       cut: false,
-      take: () => {},
+      receive: () => {},
     };
     const member = entry as TestMember;
     member.member = this.#member(member, { firstStart: true });
@@ -195,7 +195,7 @@
       random: this.#random,
       log: new SilentLog(),
       report: () => ({
-        ...this.#known(entry),
+        ...this.#usage(entry),
         state: entry.state,
         planVersion: 1,
         storeInTouch: entry.storeInTouch,
@@ -207,8 +207,8 @@
     });
   }
 
-  /** What a member uses and has in flight, whose names all others know. */
-  #known({ uses: set, inFlight, limits, takes }: TestMember) {
+  /** Usage and requests in flight of a member; adds their names for all. */
+  #usage({ uses: set, inFlight, limits, takes }: TestMember) {
     const uses = takes?.report(this.clock.now()) ?? set;
     for (
       const name of [
@@ -230,8 +230,8 @@
     return {
       send: (address, bytes) => this.#send(from, address, bytes),
       onDatagram: (take) => {
-        // The member is being made while it says who takes.
-        queueMicrotask(() => own().take = take);
+        // The handler is set while the member is still being constructed.
+        queueMicrotask(() => own().receive = take);
       },
       close: () => Promise.resolve(),
     };
@@ -246,6 +246,6 @@
     if (to.profile.region !== from.region) {
       this.sent.acrossBytes += bytes.length;
     }
-    if (to.alive) to.take(bytes);
+    if (to.alive) to.receive(bytes);
   }
 }
--- a/src/fleet/testing/rated_fleet.ts
+++ b/src/fleet/testing/rated_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Members that share the rate of one account while requests come in, on one
- * clock and a network in memory.
+ * Members that share the rate of one account under load, on one manual clock
+ * and an in-memory network.
  *
  * @module
  */
@@ -15,11 +15,11 @@
 import { MemberFleet, type TestMember } from "./member_fleet.ts";
 
 const STEP_MS = 10;
-const SETTLE_MS = 6_000;
-/** How long a member that is started anew is away, in milliseconds. */
-const DOWN_MS = 700;
+const SETTLE_TIME_MS = 6_000;
+/** How long a restarted member is down. */
+const DOWNTIME_MS = 700;
 
-/** A fleet of which every member admits requests of one account. */
+/** A fleet in which every member admits requests of one account. */
 export class RatedFleet {
   readonly account: Account;
   readonly #fleet: MemberFleet;
@@ -31,10 +31,10 @@
   private constructor(fleet: MemberFleet, rate: { readonly ratePerS: number }) {
     this.#fleet = fleet;
     this.account = account({ ratePerS: rate.ratePerS, burst: rate.ratePerS });
-    for (const member of fleet.members) this.#equip(member);
+    for (const member of fleet.members) this.#attachQuotas(member);
   }
 
-  /** A fleet that has settled. */
+  /** Starts a fleet and waits until roles and shares have settled. */
   static async start(
     zones: readonly string[],
     perZone: number,
@@ -43,7 +43,7 @@
     const fleet = new MemberFleet(zones, perZone);
     const rated = new RatedFleet(fleet, rate);
     await Promise.resolve();
-    fleet.pass(SETTLE_MS);
+    fleet.pass(SETTLE_TIME_MS);
     return rated;
   }
 
@@ -51,7 +51,7 @@
     return this.#fleet.members.filter((m) => m.roles.isRelay);
   }
 
-  /** Members one after another, from one on. */
+  /** Consecutive members from index `first`, wrapping around. */
   some(first: number, count: number): TestMember[] {
     const { members } = this.#fleet;
     return Array.from(
@@ -60,7 +60,7 @@
     ).filter((m) => m !== undefined);
   }
 
-  /** Separates members from all others; callers still reach them. */
+  /** Partitions members from all others; callers still reach them. */
   cut(members: readonly TestMember[]): void {
     for (const member of members) member.cut = true;
   }
@@ -69,7 +69,6 @@
     for (const member of this.#fleet.members) member.cut = false;
   }
 
-  /** Kills members, for good or until they are started anew. */
   kill(members: readonly TestMember[]): void {
     for (const member of members) {
       this.#fleet.kill(member);
@@ -78,18 +77,17 @@
     }
   }
 
-  /** Kills members and starts them anew. */
   async restart(members: readonly TestMember[]): Promise<void> {
     this.kill(members);
-    this.#fleet.pass(DOWN_MS);
+    this.#fleet.pass(DOWNTIME_MS);
     for (const member of members) this.#fleet.restart(member);
     await Promise.resolve();
-    for (const member of members) this.#equip(member);
+    for (const member of members) this.#attachQuotas(member);
   }
 
   /**
-   * Lets requests come at `times` the account's rate, a third of them at one
-   * member; gives how many were admitted.
+   * Sends requests at `times` the account's rate, a third of them to one member;
+   * returns how many were admitted.
    */
   run(forMs: number, times: number): number {
     const before = this.#admitted.count;
@@ -99,25 +97,25 @@
       this.#fleet.pass(STEP_MS);
       for (const [i, member] of members.entries()) {
         const part = i === 3 ? 1 / 3 : 2 / 3 / (members.length - 1);
-        this.#arrive(member, perStep * part, clock.now());
+        this.#sendRequests(member, perStep * part, clock.now());
       }
     }
     return this.#admitted.count - before;
   }
 
-  /** Sum of the parts of the rate that members take for theirs. */
+  /** Sum of the members' shares of the rate. */
   shares(): number {
     const now = this.#fleet.clock.now();
     return [...this.#quotas.values()]
       .reduce((sum, quotas) => sum + quotas.take(this.account, now).share, 0);
   }
 
-  /** The most that was admitted in any window of this length. */
+  /** Maximum number of requests admitted in any window of this length. */
   mostWithin(windowMs: number): number {
     return this.#admitted.mostWithin(windowMs);
   }
 
-  #equip(member: TestMember): void {
+  #attachQuotas(member: TestMember): void {
     const quotas = new AccountQuotas(member.profile.id, {
       fleetSize: () => member.member.fleetSize,
       gossipDelayMs: () => member.member.gossipDelayMs,
@@ -126,8 +124,12 @@
     quotas.adopt([this.account], this.#fleet.clock.now());
     this.#quotas.set(member, quotas);
     member.takes = {
-      reported: (news, now) =>
-        quotas.applyReport({ ...news, instance: news.group }, news.uses, now),
+      reported: (report, now) =>
+        quotas.applyReport(
+          { ...report, instance: report.group },
+          report.uses,
+          now,
+        ),
       suspect: (group) => quotas.markUnreachable(group),
       removed: (group) => quotas.remove(group),
       report: (now) => quotas.tick(now),
@@ -135,7 +137,7 @@
     };
   }
 
-  #arrive(member: TestMember, expected: number, now: number): void {
+  #sendRequests(member: TestMember, expected: number, now: number): void {
     const quotas = this.#quotas.get(member);
     if (quotas === undefined) return;
     const asked = arrivals(expected, this.#random);
--- a/src/fleet/zone_exchange.ts
+++ b/src/fleet/zone_exchange.ts
@@ -1,8 +1,8 @@
 /**
  * Exchange of digests between the relays of zones.
  *
- * Where the relay of a zone is not known, digests go to some of its instances,
- * which pass them on: zones find each other without knowing the relays.
+ * While the relay of a zone is unknown, digests go to some of its instances,
+ * which forward them to their relay and its standby.
  *
  * @module
  */
@@ -23,76 +23,77 @@
 import type { Sums } from "./group_sums.ts";
 import type { ZoneTable } from "./zone_table.ts";
 
-/** Instances tried at a time in a zone whose relay is not known. */
-const TRIED = 2;
-/** Each so many digests say who the members are. */
-const INTRODUCED_EVERY = 8;
+/** Recipients per digest in a zone whose relay is unknown. */
+const CONTACTS_PER_ZONE = 2;
+/** One digest in this many carries the members' profiles. */
+const PROFILE_INTERVAL_DIGESTS = 8;
 
-/** What is reported of a zone besides its members. */
+/** Report of a zone without its members. */
 export interface ZoneSums extends Sums {
   readonly limits: AgedLimits;
   readonly reserved: ReservedShares;
 }
 
-/** What the exchange works with. */
 export interface ZoneExchangeOptions {
   readonly datagrams: Datagrams;
-  readonly book: NameDictionary;
+  readonly dictionary: NameDictionary;
   readonly peers: PeerTable;
   readonly zones: ZoneTable;
-  /** Passes on a digest that came from its zone itself. */
-  readonly passOn: (zone: ZoneId, bytes: Uint8Array) => void;
+  /** Forwards a digest received directly from its zone. */
+  readonly forwardDigest: (zone: ZoneId, bytes: Uint8Array) => void;
   readonly clock: Clock;
   readonly random: Random;
 }
 
-/** The exchange between zones at one instance. */
 export class ZoneExchange {
   readonly #opts: ZoneExchangeOptions;
-  /** Digests told. */
-  #reported = 0;
+  #sentCount = 0;
 
   constructor(opts: ZoneExchangeOptions) {
     this.#opts = opts;
-    const { datagrams, book, peers } = opts;
+    const { datagrams, dictionary, peers } = opts;
     const profileOf = (idHash: number) => peers.profileOf(idHash);
     const decode = (bytes: Uint8Array) =>
-      decodeZoneDigest(bytes, { dictionary: book, profileOf });
+      decodeZoneDigest(bytes, { dictionary, profileOf });
     datagrams.onDecoded("zone", decode, (digest, bytes) => {
-      if (this.#take(digest)) opts.passOn(digest.zone, bytes);
+      if (this.#receive(digest)) opts.forwardDigest(digest.zone, bytes);
     });
-    datagrams.onDecoded("zonePassedOn", decode, (digest) => this.#take(digest));
+    datagrams.onDecoded(
+      "zonePassedOn",
+      decode,
+      (digest) => this.#receive(digest),
+    );
   }
 
   /**
-   * Tells the other zones of this one.
+   * Sends the digest of this zone to the other zones.
    *
    * @param own This instance's digest.
-   * @param zone Sums of the zone, and what is set aside for its instances that
-   * are not heard: they may be serving behind a partition.
+   * @param zone Sums of the zone, and the shares reserved for its silent
+   * instances, which may be serving behind a partition.
    */
-  tell(own: Digest, zone: ZoneSums): void {
-    const { datagrams, book, peers, zones, random } = this.#opts;
+  send(own: Digest, zone: ZoneSums): void {
+    const { datagrams, dictionary, peers, zones, random } = this.#opts;
     const byZone = new Map<ZoneId, InstanceProfile[]>();
-    for (const { profile } of peers.far()) {
-      const there = byZone.get(profile.zone) ?? [];
-      byZone.set(profile.zone, [...there, profile]);
+    for (const { profile } of peers.peersTrackedByZone()) {
+      const zoneInstances = byZone.get(profile.zone) ?? [];
+      byZone.set(profile.zone, [...zoneInstances, profile]);
     }
     if (byZone.size === 0) return;
-    let introduces = this.#reported++ % INTRODUCED_EVERY === 0;
-    const to = [...byZone].flatMap(([other, there]) => {
+    let includeProfiles = this.#sentCount++ % PROFILE_INTERVAL_DIGESTS === 0;
+    const to = [...byZone].flatMap(([other, zoneInstances]) => {
       const relay = zones.relay(other);
       if (relay !== undefined) return [relay];
-      introduces = true;
-      return someOf(there, TRIED, random);
+      includeProfiles = true;
+      return someOf(zoneInstances, CONTACTS_PER_ZONE, random);
     });
     const addresses = to.map((profile) => profile.digestAddress);
     datagrams.send(
       "zone",
       addresses,
       encodeZoneDigest(this.#compose(own, zone), {
-        dictionary: book,
-        includeProfiles: introduces,
+        dictionary,
+        includeProfiles,
       }),
     );
   }
@@ -102,8 +103,10 @@
     zone: ZoneSums,
   ): ZoneDigest {
     const { peers } = this.#opts;
-    const heard = peers.zonePeers().filter((m) => !m.unreachable);
-    const members: ZoneMember[] = [own, ...heard].map(({ profile, state }) => ({
+    const reachable = peers.zonePeers().filter((m) => !m.unreachable);
+    const members: ZoneMember[] = [own, ...reachable].map((
+      { profile, state },
+    ) => ({
       profile,
       state,
     }));
@@ -113,19 +116,19 @@
       relay: own.profile.id,
       start: own.start,
       seq: own.seq,
-      storeInTouch: own.storeInTouch || heard.some((m) => m.storeInTouch),
+      storeInTouch: own.storeInTouch || reachable.some((m) => m.storeInTouch),
       changes: own.changes,
       members,
-      instances: 1 + heard.filter((m) => !m.suspect).length,
+      instances: 1 + reachable.filter((m) => !m.suspect).length,
       ...zone,
     };
   }
 
-  /** Gives whether the digest is newer than the last of its zone. */
-  #take(digest: ZoneDigest): boolean {
+  /** Applies a digest; returns whether it was accepted. */
+  #receive(digest: ZoneDigest): boolean {
     const { peers, zones, clock } = this.#opts;
     const now = clock.now();
-    for (const { profile } of digest.members) peers.learn(profile, now);
+    for (const { profile } of digest.members) peers.add(profile, now);
     if (peers.isMesh || peers.isOwnZone(digest.zone)) return false;
     return zones.heard(digest, now);
   }
--- a/src/fleet/zone_relay.ts
+++ b/src/fleet/zone_relay.ts
@@ -1,10 +1,10 @@
 /**
- * Sums what the instances of a zone and the other zones report, and tells both
- * once a period.
+ * Sums the reports of a zone's instances and of the other zones, and sends the
+ * sums to both once a period.
  *
- * Load: each instance tells two of its zone, and one of them tells all, so what
- * an instance reads and writes does not grow with the fleet. Without the second
- * nobody would hear of anybody while a relay that died is replaced.
+ * Load: each instance reports to two of its zone, and one of them sends the sums
+ * to all, so an instance's traffic does not grow with the fleet. Without the
+ * second recipient, gossip would stop while a relay that died is replaced.
  *
  * @module
  */
@@ -20,7 +20,7 @@
 import { Bundle } from "./bundles.ts";
 import type { Datagrams } from "./datagrams.ts";
 import type { Digest } from "./digest.ts";
-import { INTRODUCED_FIRST, toTell } from "./digest_exchange.ts";
+import { gossipRecipients, NEWCOMER_DIGESTS } from "./digest_exchange.ts";
 import {
   type AggregateMember,
   encodeAggregate,
@@ -35,20 +35,19 @@
 import type { ZoneExchange, ZoneSums } from "./zone_exchange.ts";
 import type { ZoneTable } from "./zone_table.ts";
 
-/** Aggregates between two that name the other zones' serving instances. */
-const FAR_EVERY = 4;
-/** Profiles in each aggregate. */
-const PROFILES = 1;
+/** One aggregate in this many lists the other zones' serving instances. */
+const FAR_SERVING_INTERVAL_AGGREGATES = 4;
+const PROFILES_PER_AGGREGATE = 1;
 /**
- * How often a newcomer's zone is told all profiles, in milliseconds. Where all
- * start at once, each digest comes from a newcomer.
+ * Minimum interval between aggregates with all profiles, which are sent once an
+ * instance of the zone has just started. When all start at once, every digest
+ * would trigger one.
  */
-const ALL_PROFILES_EVERY_MS = 1_000;
+const ALL_PROFILES_INTERVAL_MS = 1_000;
 
-/** What the relay works with. */
 export interface ZoneRelayOptions {
   readonly datagrams: Datagrams;
-  readonly book: NameDictionary;
+  readonly dictionary: NameDictionary;
   readonly peers: PeerTable;
   readonly zones: ZoneTable;
   readonly exchange: ZoneExchange;
@@ -56,31 +55,30 @@
   readonly random: Random;
 }
 
-/** Sums reports at each instance, and relays them where it is the relay. */
+/** Sums reports at every instance; the relay also publishes them. */
 export class ZoneRelay {
   readonly #opts: ZoneRelayOptions;
   readonly #zonePeers = new GroupSums();
   readonly #otherZones = new GroupSums();
-  /** Other zones' digests, for the one that would relay next. */
-  readonly #forStandby: Bundle;
-  #newcomer = false;
-  #allProfilesAt = -Infinity;
+  /** Digests of other zones for the standby. */
+  readonly #standbyBundle: Bundle;
+  #hasNewcomer = false;
+  #allProfilesSentAt = -Infinity;
 
   constructor(opts: ZoneRelayOptions) {
     this.#opts = opts;
-    this.#forStandby = new Bundle(opts.datagrams);
+    this.#standbyBundle = new Bundle(opts.datagrams);
   }
 
-  /** An instance of the zone reported. */
-  reportPeer(news: GroupReport, seq: number): void {
-    const fresh = seq < INTRODUCED_FIRST;
-    this.#newcomer ||= fresh;
-    this.#zonePeers.report(news, { fresh });
+  /** Adds the report of an instance of the zone. */
+  onReport(report: GroupReport, seq: number): void {
+    const fresh = seq < NEWCOMER_DIGESTS;
+    this.#hasNewcomer ||= fresh;
+    this.#zonePeers.report(report, { fresh });
   }
 
-  /** Another zone reported. */
-  reportZone(news: GroupReport): void {
-    this.#otherZones.report(news, { fresh: false });
+  onZoneReport(report: GroupReport): void {
+    this.#otherZones.report(report, { fresh: false });
   }
 
   suspect(group: InstanceId): void {
@@ -98,26 +96,27 @@
     this.#otherZones.forget(group);
   }
 
-  /** Keeps another zone's digest for the one that stands by. */
-  keep(zone: ZoneId, bytes: Uint8Array): void {
-    this.#forStandby.put(zone, "zonePassedOn", bytes);
+  /** Keeps another zone's digest for the next bundle to the standby. */
+  keepForStandby(zone: ZoneId, bytes: Uint8Array): void {
+    this.#standbyBundle.put(zone, "zonePassedOn", bytes);
   }
 
   /**
-   * Tells the other zones, this one, and the instance that stands by.
+   * Sends the sums to the other zones and to this one, and the bundle to the
+   * standby.
    *
-   * @param own This instance's digest of this moment.
+   * @param own This instance's current digest.
    */
   publish(
     own: Digest,
     opts: {
-      /** What is set aside for groups that are not heard. */
+      /** Reserved shares of silent groups. */
       readonly reservations: readonly Reservation[];
-      /** Addresses of those that stand by. */
+      /** Addresses of the standby instances. */
       readonly standby: readonly string[];
     },
   ): void {
-    const { datagrams, book, peers, exchange, clock } = this.#opts;
+    const { datagrams, dictionary, peers, exchange, clock } = this.#opts;
     const { reservations, standby } = opts;
     const now = clock.now();
     const zone = this.#zonePeers.sumWith(own);
@@ -129,20 +128,24 @@
       zoneLimits,
       ...this.#otherZones.heard.map(({ limits }) => limits),
     ]);
-    const ofZone = reservations.filter(({ group }) => peers.isZonePeer(group));
-    exchange.tell(own, {
+    const zoneReservations = reservations.filter(({ group }) =>
+      peers.isZonePeer(group)
+    );
+    exchange.send(own, {
       ...zone,
       limits: agedLimits(zoneLimits, now),
-      reserved: sumOfReserved(ofZone),
+      reserved: sumOfReserved(zoneReservations),
     });
     const aggregate = this.#compose(own, {
       ...this.#otherZones.sumWith(zone),
       limits: agedLimits(limits, now),
       reserved: sumOfReserved(reservations),
     });
-    const to = toTell(peers.zonePeers(), own.seq).map((m) => m.digestAddress);
-    datagrams.send("aggregate", to, encodeAggregate(aggregate, book));
-    this.#forStandby.send(standby);
+    const to = gossipRecipients(peers.zonePeers(), own.seq).map((m) =>
+      m.digestAddress
+    );
+    datagrams.send("aggregate", to, encodeAggregate(aggregate, dictionary));
+    this.#standbyBundle.send(standby);
   }
 
   #compose(
@@ -151,9 +154,12 @@
   ): FleetAggregate {
     const { peers, zones } = this.#opts;
     const heard = [...this.#zonePeers.heard, ...this.#otherZones.heard];
-    const changes = latest([own.changes, ...heard.map((g) => g.changes)]);
+    const changes = latestRevisions([
+      own.changes,
+      ...heard.map((g) => g.changes),
+    ]);
     const zonePeers = peers.zonePeers().filter((m) => !m.suspect);
-    const far = own.seq % FAR_EVERY === 0
+    const farServing = own.seq % FAR_SERVING_INTERVAL_AGGREGATES === 0
       ? zones.serving().map(({ id }) => hash(id))
       : undefined;
     return {
@@ -165,32 +171,34 @@
       storeInTouch: own.storeInTouch || heard.some((g) => g.storeInTouch),
       changes,
       members: [
-        memberOf(own.profile, own, changes),
+        aggregateMember(own.profile, own, changes),
         ...zonePeers.map((zonePeer) =>
-          memberOf(zonePeer.profile, zonePeer, changes)
+          aggregateMember(zonePeer.profile, zonePeer, changes)
         ),
       ],
-      farServing: far,
+      farServing,
       profiles: this.#profiles(),
     };
   }
 
   #profiles(): readonly InstanceProfile[] {
     const { peers, clock, random } = this.#opts;
-    const known = [...peers.zonePeers(), ...peers.far()].map((p) => p.profile);
+    const known = [...peers.zonePeers(), ...peers.peersTrackedByZone()].map((
+      p,
+    ) => p.profile);
     const now = clock.now();
-    const all = this.#newcomer &&
-      now - this.#allProfilesAt >= ALL_PROFILES_EVERY_MS;
-    if (!all) return someOf(known, PROFILES, random);
-    this.#newcomer = false;
-    this.#allProfilesAt = now;
+    const all = this.#hasNewcomer &&
+      now - this.#allProfilesSentAt >= ALL_PROFILES_INTERVAL_MS;
+    if (!all) return someOf(known, PROFILES_PER_AGGREGATE, random);
+    this.#hasNewcomer = false;
+    this.#allProfilesSentAt = now;
     return known;
   }
 }
 
-function memberOf(
+function aggregateMember(
   { id }: InstanceProfile,
-  reported: Omit<Peer, "profile" | "heardAt"> | Digest,
+  reported: Omit<Peer, "profile" | "lastReportAt"> | Digest,
   changes: ReadonlyMap<string, number>,
 ): AggregateMember {
   const { start, seq, state, isStoreWatcher, storeInTouch, relays, capacity } =
@@ -212,7 +220,7 @@
 }
 
 /** The highest revision of each kind. */
-function latest(
+function latestRevisions(
   all: readonly ReadonlyMap<string, number>[],
 ): Map<string, number> {
   const highest = new Map<string, number>();
