--- a/src/endpoints/endpoint_client.ts
+++ b/src/endpoints/endpoint_client.ts
@@ -1,6 +1,6 @@
 /**
- * How endpoints are spoken to, as an interface, so that a test plays an
- * endpoint without sockets.
+ * The interface through which endpoints are called; tests implement it
+ * without sockets.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 /** Headers with lower-case names. */
 export type Headers = Readonly<Record<string, string>>;
 
-/** A request as an endpoint gets it: the caller's key is not in it. */
+/** A request as sent to an endpoint, without the caller's API key. */
 export interface EndpointRequest {
   readonly url: string;
   readonly method: string;
@@ -24,25 +24,25 @@
   readonly signal: AbortSignal;
 }
 
-/** An endpoint's answer, its body still to come. */
+/** An endpoint's response; the body is streamed. */
 export interface EndpointAnswer {
   readonly status: number;
   readonly headers: Headers;
   readonly body: Readable;
 }
 
-/** What an endpoint says of itself. */
+/** The health that an endpoint reports in answer to a probe. */
 export interface EndpointReport {
   readonly ready: boolean;
-  /** Requests it says it runs now; a hint that lags. */
+  /** Requests in flight by its own count; may be out of date. */
   readonly inFlight: number | undefined;
 }
 
 /**
- * Speaks to endpoints.
+ * Sends requests and probes to endpoints.
  *
  * Failures of `send`: `endpoint_failed` with outcome `not-run` where no byte
- * can have reached the endpoint or it said so itself, else `unknown`;
+ * can have reached the endpoint or the endpoint reported that, else `unknown`;
  * `deadline_exceeded` and `cancelled` with outcome `unknown`.
  */
 export interface EndpointClient {
--- a/src/endpoints/http_endpoint_client.ts
+++ b/src/endpoints/http_endpoint_client.ts
@@ -1,9 +1,9 @@
 /**
- * Endpoints over HTTP by undici.
+ * Calls endpoints over HTTP with undici.
  *
- * An endpoint is told the account in `x-client-account` and how long it may
- * take in `x-timeout-ms`. It sheds work it did not start by status 503 with
- * `x-not-run: true`, and answers probes under `/healthz`.
+ * Requests carry the account in `x-client-account` and the time-out in
+ * `x-timeout-ms`. An endpoint that sheds a request before starting it answers
+ * 503 with `x-not-run: true`. Probes go to `/healthz`.
  *
  * @module
  */
@@ -21,28 +21,28 @@
 
 const CONNECT_TIMEOUT_MS = 1_000;
 const SERVICE_UNAVAILABLE = 503;
-const KEEP_ALIVE_MS = 10_000;
+const KEEP_ALIVE_TIMEOUT_MS = 10_000;
 const MAX_CONNECTIONS_PER_ENDPOINT = 128;
 
-const Report = z.object({
+const HealthReport = z.object({
   ready: z.boolean(),
   in_flight: z.number().nonnegative().optional(),
 });
 
-/** Errors that undici gives before it has a connection to write to. */
-const BEFORE_CONNECTION = new Set([
+/** Error codes that undici reports before a connection is established. */
+const CONNECT_ERROR_CODES = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
   "ENETUNREACH",
   "UND_ERR_CONNECT_TIMEOUT",
 ]);
 
-/** Sends requests to endpoints over kept connections. */
+/** Sends requests to endpoints over keep-alive connections. */
 export class HttpEndpointClient implements EndpointClient {
   readonly #agent = new Agent({
     connections: MAX_CONNECTIONS_PER_ENDPOINT,
     pipelining: 1,
-    keepAliveTimeout: KEEP_ALIVE_MS,
+    keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
     connect: { timeout: CONNECT_TIMEOUT_MS },
   });
 
@@ -60,7 +60,7 @@
         dispatcher: this.#agent,
         signal: timeout.signal,
       });
-      const headers = flatten(res.headers);
+      const headers = joinRepeatedHeaders(res.headers);
       if (headers["x-not-run"] === "true") {
         await res.body.dump();
         return fail("endpoint_failed", "the endpoint shed the request", {
@@ -69,7 +69,7 @@
       }
       return ok({ status: res.statusCode, headers, body: res.body });
     } catch (cause) {
-      return fail(...reason(cause, req.signal, timeout));
+      return fail(...failArgsFor(cause, req.signal, timeout));
     }
   }
 
@@ -86,9 +86,9 @@
         await res.body.dump();
         return ok({ ready: false, inFlight: undefined });
       }
-      const report = Report.safeParse(await res.body.json());
+      const report = HealthReport.safeParse(await res.body.json());
       if (!report.success) {
-        return fail("endpoint_failed", "broken health report");
+        return fail("endpoint_failed", "the health report is not valid");
       }
       const { ready, in_flight: inFlight } = report.data;
       return ok({ ready: ready && res.statusCode === 200, inFlight });
@@ -105,31 +105,37 @@
   }
 }
 
-type Reason = Parameters<typeof fail>;
+type FailArgs = Parameters<typeof fail>;
 
-function reason(
+function failArgsFor(
   cause: unknown,
   caller: AbortSignal,
   timeout: Deadline,
-): Reason {
-  if (neverConnected(cause)) {
-    return ["endpoint_failed", "no connection", { outcome: "not-run" }];
+): FailArgs {
+  if (isConnectError(cause)) {
+    return ["endpoint_failed", "could not connect to the endpoint", {
+      outcome: "not-run",
+    }];
   }
   const unknown = { outcome: "unknown" } as const;
-  if (caller.aborted) return ["cancelled", "the caller went away", unknown];
+  if (caller.aborted) return ["cancelled", "the caller disconnected", unknown];
   if (timeout.expired) {
-    return ["deadline_exceeded", "the endpoint took too long", unknown];
+    return [
+      "deadline_exceeded",
+      "the endpoint did not answer in time",
+      unknown,
+    ];
   }
   return ["endpoint_failed", `the endpoint failed: ${String(cause)}`, unknown];
 }
 
-function neverConnected(cause: unknown): boolean {
+function isConnectError(cause: unknown): boolean {
   const code = cause instanceof Error && "code" in cause ? cause.code : "";
   return cause instanceof errors.ConnectTimeoutError ||
-    BEFORE_CONNECTION.has(String(code));
+    CONNECT_ERROR_CODES.has(String(code));
 }
 
-function flatten(
+function joinRepeatedHeaders(
   headers: Record<string, string | string[] | undefined>,
 ): Headers {
   const flat: Record<string, string> = {};
--- a/src/endpoints/mod.ts
+++ b/src/endpoints/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Endpoints of services.
+ * Calls and health checks of endpoints.
  *
  * @module
  */
--- a/src/endpoints/prober.ts
+++ b/src/endpoints/prober.ts
@@ -1,5 +1,5 @@
 /**
- * Probes the endpoints that fall to this instance and shares what they said
+ * Probes the endpoints assigned to this instance and shares the results
  * within the availability zone.
  *
  * @module
@@ -18,7 +18,7 @@
 export interface ProbeTarget {
   readonly id: EndpointId;
   readonly url: string;
-  /** Whether a connection may be opened beside those that requests use. */
+  /** Whether the endpoint has a connection to spare for a probe. */
   readonly connectionFree: boolean;
 }
 
@@ -34,16 +34,16 @@
   readonly onHint: (endpoint: EndpointId, hint: LoadHint) => void;
 }
 
-/** A probe that takes longer says by that alone that the endpoint is in trouble. */
+/** A probe without an answer by then counts the endpoint as unreachable. */
 const PROBE_TIMEOUT_MS = 1_000;
-/** Results older than this are not told on. */
-const TELL_MS = 3_000;
+/** Older results are not shared. */
+const MAX_AGE_MS = 3_000;
 
-/** Runs probes; each endpoint has at most one under way. */
+/** Runs health probes, at most one at a time for each endpoint. */
 export class Prober {
   readonly #deps: ProberDeps;
   readonly #results = new Map<EndpointId, LoadHint>();
-  readonly #busy = new Set<EndpointId>();
+  readonly #probing = new Set<EndpointId>();
 
   constructor(deps: ProberDeps) {
     this.#deps = deps;
@@ -55,24 +55,24 @@
     for (const id of this.#results.keys()) {
       if (!targets.has(id)) this.#results.delete(id);
     }
-    const mates = this.#deps.zoneMates();
-    for (const id of this.#deps.schedule.due([...targets.keys()], mates, now)) {
+    const peers = this.#deps.zoneMates();
+    for (const id of this.#deps.schedule.due([...targets.keys()], peers, now)) {
       const target = targets.get(id);
-      if (!target?.connectionFree || this.#busy.has(id)) continue;
+      if (!target?.connectionFree || this.#probing.has(id)) continue;
       void this.#probe(target);
     }
   }
 
-  /** Adds this instance's results for another instance of the zone. */
+  /** Adds recent results to a message to another instance of the zone. */
   fill(part: LoadPart): void {
     const now = this.#deps.clock.now();
     for (const [endpoint, hint] of this.#results) {
       const ageMs = Math.round(now - hint.at);
-      if (ageMs <= TELL_MS) part.probes.push(report(endpoint, hint, ageMs));
+      if (ageMs <= MAX_AGE_MS) part.probes.push(encode(endpoint, hint, ageMs));
     }
   }
 
-  /** Takes in what another instance of the zone measured. */
+  /** Applies the results received from another instance of the zone. */
   absorb(part: LoadPart): void {
     const now = this.#deps.clock.now();
     for (const { endpoint, ready, reachable, inFlight, ageMs } of part.probes) {
@@ -88,22 +88,22 @@
 
   async #probe({ id, url }: ProbeTarget): Promise<void> {
     const { clock, client, metrics } = this.#deps;
-    this.#busy.add(id);
+    this.#probing.add(id);
     const startedAt = clock.now();
-    const found = await client.probe(url, PROBE_TIMEOUT_MS);
-    this.#busy.delete(id);
+    const result = await client.probe(url, PROBE_TIMEOUT_MS);
+    this.#probing.delete(id);
     const at = clock.now();
-    metrics.count("probes", { result: found.isOk() ? "ok" : "failed" });
+    metrics.count("probes", { result: result.isOk() ? "ok" : "failed" });
     metrics.timing("probe.duration", at - startedAt);
-    // Silence says nothing of readiness: the last word stands.
-    const hint = found.isOk()
-      ? { ...found.value, reachable: true, at }
-      : { ...this.#lastWord(id), reachable: false, at };
+    // A failed probe does not show readiness, so the last reported one is kept.
+    const hint = result.isOk()
+      ? { ...result.value, reachable: true, at }
+      : { ...this.#lastReport(id), reachable: false, at };
     this.#results.set(id, hint);
     this.#deps.onHint(id, hint);
   }
 
-  #lastWord(id: EndpointId): Pick<LoadHint, "ready" | "inFlight"> {
+  #lastReport(id: EndpointId): Pick<LoadHint, "ready" | "inFlight"> {
     return {
       ready: this.#results.get(id)?.ready ?? true,
       inFlight: undefined,
@@ -111,7 +111,7 @@
   }
 }
 
-function report(
+function encode(
   endpoint: EndpointId,
   { ready, reachable, inFlight }: LoadHint,
   ageMs: number,
--- a/src/endpoints/prober_test.ts
+++ b/src/endpoints/prober_test.ts
@@ -32,7 +32,7 @@
   probe(url: string): Promise<Result<EndpointReport, Failure>> {
     this.probes.set(url, (this.probes.get(url) ?? 0) + 1);
     if (this.report) return Promise.resolve(ok(this.report));
-    return Promise.resolve(fail("endpoint_failed", "silence"));
+    return Promise.resolve(fail("endpoint_failed", "no answer"));
   }
 
   close(): Promise<void> {
@@ -70,7 +70,7 @@
   return { client, metrics, zone, run };
 }
 
-test("a zone probes each endpoint once a period, whoever its members are", async (t) => {
+test("the instances of a zone together probe each endpoint once a period", async (t) => {
   const { client, metrics, run } = setup();
   await run(100);
   for (const endpoint of ENDPOINTS) {
@@ -81,7 +81,7 @@
   t.is(metrics.counts.get("probes"), all);
 });
 
-test("what one member measured reaches the others with its age", async (t) => {
+test("probe results are shared with the other instances, with their age", async (t) => {
   const { zone, run } = setup();
   await run(30);
   const part = create(LoadPartSchema);
@@ -92,9 +92,9 @@
   t.is(zone[0]!.hints.get("a")?.inFlight, 2);
 });
 
-test("an endpoint that falls silent keeps its last word", async (t) => {
-  // An endpoint said that it is leaving and then stopped answering. Taking
-  // silence for readiness would send it work again while it shuts down.
+test("an endpoint that stops answering keeps its last reported readiness", async (t) => {
+  // An endpoint reported not ready and then stopped answering. Counting it
+  // as ready again would send it requests while it shuts down.
   const { client, zone, run } = setup();
   client.report = { ready: false, inFlight: 0 };
   await run(30);
--- a/src/gateway/caller_gone_test.ts
+++ b/src/gateway/disconnect_signal_test.ts
@@ -1,15 +1,15 @@
 import test from "ava";
 import { createServer, get } from "node:http";
 import type { AddressInfo } from "node:net";
-import { callerGone } from "./caller_gone.ts";
+import { disconnectSignal } from "./disconnect_signal.ts";
 
-test("a caller that hangs up is noticed, one that was answered is not", async (t) => {
-  // The caller gives up. Unless that is noticed its request goes on waiting
-  // for a slot and takes it from somebody who still wants an answer.
+test("the signal aborts when the caller disconnects, not after a complete response", async (t) => {
+  // A caller disconnects. Without the signal its request would stay queued and
+  // take a slot from a caller that still waits.
   const signals: AbortSignal[] = [];
   const closed: Promise<unknown>[] = [];
   const server = createServer((req, res) => {
-    signals.push(callerGone(res));
+    signals.push(disconnectSignal(res));
     closed.push(new Promise((resolve) => res.once("close", resolve)));
     if (req.url === "/answer") res.end("done");
     else setImmediate(() => req.socket.destroy());
--- a/src/gateway/refusal.ts
+++ b/src/gateway/failure_response.ts
@@ -1,5 +1,5 @@
 /**
- * Failures as HTTP answers.
+ * Failures as HTTP responses.
  *
  * @module
  */
@@ -26,8 +26,8 @@
 const DEFAULT_STATUS = 503;
 const MS_PER_S = 1_000;
 
-/** Answers with a failure: status, outcome, and when to come back. */
-export function refuse(res: Response, failure: Failure): void {
+/** Responds with a failure: status, outcome and retry delay. */
+export function sendFailure(res: Response, failure: Failure): void {
   if (res.headersSent) {
     res.destroy();
     return;
--- a/src/gateway/forward_app.ts
+++ b/src/gateway/forward_app.ts
@@ -1,9 +1,9 @@
 /**
- * Requests between entry instances: the receiving side.
+ * Requests forwarded between entry instances: the receiving side.
  *
- * Only instances whose batches were heard are trusted, by the random token of
- * their present life. The account's rate was taken where the request came in;
- * here only room is asked for.
+ * Only instances whose gossip has arrived are trusted, by the random token of
+ * their current incarnation. The first instance has charged the account's rate
+ * limit; this one only admits by capacity.
  *
  * @module
  */
@@ -34,14 +34,14 @@
   INCARNATION_HEADER,
   WORK_HEADER,
 } from "./forwarding.ts";
-import { callerGone } from "./caller_gone.ts";
-import { TIMEOUT_HEADER, toEndpoint } from "./headers.ts";
+import { disconnectSignal } from "./disconnect_signal.ts";
+import { endpointHeaders, TIMEOUT_HEADER } from "./headers.ts";
 import { HEAD_BYTES, pace, PacedStream } from "./pacing.ts";
-import { refuse } from "./refusal.ts";
+import { sendFailure } from "./failure_response.ts";
 import { relay } from "./relay.ts";
 import { hasBody, workResult } from "./request_path.ts";
 
-/** What the receiving side needs. */
+/** Dependencies of {@link forwardApp}. */
 export interface ForwardAppDeps {
   readonly clock: Clock;
   readonly metrics: Metrics;
@@ -49,20 +49,20 @@
   readonly intake: ForwardedAdmission;
   readonly links: LinkBudgets;
   readonly region: string;
-  /** The peer that names itself so; undefined if it was never heard. */
+  /** The peer with this identity; undefined before its first gossip. */
   readonly peerOf: (
     identity: ForwardIdentity,
   ) => ForwardingInstance | undefined;
 }
 
-interface Forwarded {
+interface ForwardedRequest {
   readonly req: Request;
   readonly from: ForwardingInstance;
   readonly steering: SteeringRequest;
   readonly signal: AbortSignal;
 }
 
-/** Tells the sender that no byte of the request reached an endpoint. */
+/** Set on a failure for which no byte of the request reached an endpoint. */
 const NOT_RUN_HEADER = "x-not-run";
 
 /** Builds the express application that serves {@link FORWARD_PATH}. */
@@ -78,10 +78,13 @@
     if (done.error.outcome === "not-run" && !res.headersSent) {
       res.setHeader(NOT_RUN_HEADER, "true");
     }
-    refuse(res, done.error);
+    sendFailure(res, done.error);
   });
   app.use((_req: Request, res: Response) => {
-    refuse(res, failure("not_found", "no such path", { outcome: "not-run" }));
+    sendFailure(
+      res,
+      failure("not_found", "no such path", { outcome: "not-run" }),
+    );
   });
   return app;
 }
@@ -91,7 +94,7 @@
   req: Request,
   res: Response,
 ): Promise<Result<void, Failure>> {
-  const forwarded = accept(deps, req, res);
+  const forwarded = parseForwarded(deps, req, res);
   if (forwarded.isErr()) return forwarded.map(() => undefined);
   const { steering, from, signal } = forwarded.value;
   const slot = deps.intake.admit(steering, from, deps.clock.now());
@@ -99,41 +102,47 @@
   const answer = await send(deps, forwarded.value, slot.value);
   if (answer.isErr()) return answer.map(() => undefined);
   const link = { links: deps.links, to: from.region, clock: deps.clock };
-  const crosses = from.region !== deps.region;
-  if (crosses) await pace(link, HEAD_BYTES);
+  const crossesLink = from.region !== deps.region;
+  if (crossesLink) await pace(link, HEAD_BYTES);
   await relay(answer.value, slot.value, {
     res,
     signal,
     clock: deps.clock,
-    pace: crosses ? new PacedStream(link) : undefined,
+    pace: crossesLink ? new PacedStream(link) : undefined,
   });
   return answer.map(() => undefined);
 }
 
-function accept(
+function parseForwarded(
   deps: ForwardAppDeps,
   req: Request,
   res: Response,
-): Result<Forwarded, Failure> {
+): Result<ForwardedRequest, Failure> {
   const from = deps.peerOf({
     instance: header(req, FROM_HEADER),
     incarnation: header(req, INCARNATION_HEADER),
   });
   if (from === undefined || header(req, HOP_HEADER) !== "1") {
-    return fail("forbidden", "not a known instance", { outcome: "not-run" });
+    return fail("forbidden", "the sender is not a known instance", {
+      outcome: "not-run",
+    });
   }
   const service = ServiceId.safeParse(req.params["service"]);
   const account = AccountId.safeParse(req.headers["x-client-account"]);
   const timeoutMs = Number(header(req, TIMEOUT_HEADER));
   if (!service.success || !account.success || !(timeoutMs > 0)) {
-    return fail("bad_request", "not a forwarded request", {
-      outcome: "not-run",
-    });
+    return fail(
+      "bad_request",
+      "the service, the account or the time-out is not valid",
+      {
+        outcome: "not-run",
+      },
+    );
   }
   return ok({
     req,
     from,
-    signal: callerGone(res),
+    signal: disconnectSignal(res),
     steering: {
       service: service.data,
       account: account.data,
@@ -146,14 +155,14 @@
 
 async function send(
   deps: ForwardAppDeps,
-  { req, steering, signal }: Forwarded,
+  { req, steering, signal }: ForwardedRequest,
   slot: Slot,
 ) {
   const answer = await deps.endpoints.send({
     url: slot.url,
     method: req.method,
     path: req.url,
-    headers: toEndpoint(req.headers),
+    headers: endpointHeaders(req.headers),
     body: hasBody(req) ? req : undefined,
     account: steering.account,
     timeoutMs: steering.deadline - deps.clock.now(),
--- a/src/gateway/forwarding.ts
+++ b/src/gateway/forwarding.ts
@@ -1,10 +1,9 @@
 /**
- * Requests between entry instances: the sending side.
+ * Requests forwarded between entry instances: the sending side.
  *
  * A forwarded request carries the account that the first instance found for
- * the key, never the key, and the time that is left. The path under which it
- * travels is served by peers alone and is never forwarded again, so no request
- * can circle.
+ * the key, never the key, and the remaining time. A receiver of the forwarding
+ * path never forwards again, so there are no loops.
  *
  * @module
  */
@@ -16,26 +15,26 @@
 import { OUTCOME_HEADER } from "./headers.ts";
 import { type PacedLink, PacedStream } from "./pacing.ts";
 
-/** Path under which peers take forwarded requests. */
+/** Path under which peers accept forwarded requests. */
 export const FORWARD_PATH = "/v1/forward";
-/** Marks a request that has already been passed on once. */
+/** Marks a request that has been forwarded once. */
 export const HOP_HEADER = "x-magnoliahook-hop";
-/** The instance that forwards. */
+/** Id of the forwarding instance. */
 export const FROM_HEADER = "x-magnoliahook-from";
-/** The life of that instance, as its batches name it. */
+/** Incarnation of the forwarding instance, as in its gossip. */
 export const INCARNATION_HEADER = "x-magnoliahook-incarnation";
-/** Kind of work, as the first instance's document names it. */
+/** Class of work, by the first instance's document. */
 export const WORK_HEADER = "x-magnoliahook-work";
-/** Whether running the request twice does no harm. */
+/** Whether the request is idempotent. */
 export const IDEMPOTENT_HEADER = "x-magnoliahook-idempotent";
 
-/** How an instance names itself to its peers. */
+/** Identity that an instance presents to its peers. */
 export interface ForwardIdentity {
   readonly instance: string;
   readonly incarnation: string;
 }
 
-/** What is told of a forwarded request beside its own headers. */
+/** Headers that are added to a forwarded request. */
 export function forwardHeaders(
   self: ForwardIdentity,
   req: { work?: string; idempotent: boolean },
@@ -49,12 +48,12 @@
   };
 }
 
-/** The path of a request at the slot's address. */
-export function pathAt(slot: Slot, service: ServiceId, path: string): string {
+/** The request's path at the slot's address; prefixed if it is forwarded. */
+export function slotPath(slot: Slot, service: ServiceId, path: string): string {
   return slot.forward ? `${FORWARD_PATH}/${service}${path}` : path;
 }
 
-/** A body that goes over a link no faster than it may. */
+/** Limits a body to this instance's share of a link's bandwidth. */
 export function pacedBody(
   body: Readable | Uint8Array,
   link: PacedLink,
@@ -66,17 +65,17 @@
 }
 
 /**
- * Tells a peer's own failure from the answer of the endpoint behind it. Only
- * peers can set the header: it is taken off what endpoints say.
+ * Turns a peer's own failure into a failure; an endpoint's response passes.
+ * Only peers can set the header: it is stripped from endpoints' responses.
  */
-export function peerFailure(
+export function checkPeerFailure(
   answer: EndpointAnswer,
 ): Result<EndpointAnswer, Failure> {
   if (answer.headers[OUTCOME_HEADER] === undefined) return ok(answer);
   answer.body.resume();
-  const late = answer.status === GATEWAY_TIMEOUT;
-  const code = late ? "deadline_exceeded" : "endpoint_failed";
-  return fail(code, "the request failed beyond another instance", {
+  const timedOut = answer.status === GATEWAY_TIMEOUT;
+  const code = timedOut ? "deadline_exceeded" : "endpoint_failed";
+  return fail(code, "the request failed behind another entry instance", {
     outcome: "unknown",
   });
 }
--- a/src/gateway/key_ring.ts
+++ b/src/gateway/key_ring.ts
@@ -1,9 +1,9 @@
 /**
- * Which client account a key stands for.
+ * Maps API keys to client accounts.
  *
- * Pattern it answers: a zone is cut off from the platform and cannot learn of
- * a withdrawn key. Each account says how long its keys are taken all the same;
- * after that a request is refused, which an operator sees as `cut_off`.
+ * A zone that has lost contact with the platform does not learn of withdrawn
+ * keys. Each account configures how long its keys are accepted then; after
+ * that its requests are rejected with `cut_off`.
  *
  * @module
  */
@@ -20,23 +20,23 @@
 const BEARER = /^Bearer ([\x21-\x7e]{1,512})$/;
 const MS_PER_S = 1_000;
 /**
- * A zone counts as cut off after this long without contact, in milliseconds:
- * two watches of the store and the wait between them take less.
+ * Time without contact after which a zone counts as cut off; longer than two
+ * watches of the store and the wait between them.
  */
-export const CUT_OFF_MS = 15_000;
-const CUT_OFF_RETRY_MS = 5_000;
+export const CUT_OFF_AFTER_MS = 15_000;
+const CUT_OFF_RETRY_AFTER_MS = 5_000;
 
-/** Keys by digest; the keys themselves are never held. */
+/** Accounts by SHA-256 of their keys; the keys themselves are not stored. */
 export class KeyRing {
   readonly #contactAgeMs: () => number;
   #owners = new Map<string, KeyOwner>();
 
-  /** `contactAgeMs` tells how long there has been no contact with the platform. */
+  /** `contactAgeMs` returns the time since the platform was last reached. */
   constructor(contactAgeMs: () => number = () => 0) {
     this.#contactAgeMs = contactAgeMs;
   }
 
-  /** Takes over the keys of a newly accepted document. */
+  /** Replaces the keys by those of a newly accepted document. */
   adopt(document: SteeringDocument): void {
     const owners = new Map<string, KeyOwner>();
     for (const [id, account] of Object.entries(document.accounts)) {
@@ -50,26 +50,26 @@
   }
 
   /**
-   * The account for an `Authorization` header's value.
+   * Returns the account for an `Authorization` header's value.
    *
-   * Errors: `unauthenticated`, and `cut_off` for a good key of an account
-   * whose grace has passed without contact.
+   * Errors: `unauthenticated`, and `cut_off` for a valid key of an account
+   * whose grace period has passed without contact.
    */
   accountOf(authorization: string | undefined): Result<AccountId, Failure> {
     const key = BEARER.exec(authorization ?? "")?.[1];
     const owner = key && this.#owners.get(sha256(key));
     if (!owner) {
-      return fail("unauthenticated", "no valid key came with the request", {
+      return fail("unauthenticated", "the request has no valid key", {
         outcome: "not-run",
       });
     }
-    if (this.#contactAgeMs() <= Math.max(CUT_OFF_MS, owner.graceMs)) {
+    if (this.#contactAgeMs() <= Math.max(CUT_OFF_AFTER_MS, owner.graceMs)) {
       return ok(owner.account);
     }
     return fail(
       "cut_off",
-      "this zone is cut off and cannot tell whether the key was withdrawn",
-      { outcome: "not-run", retryAfterMs: CUT_OFF_RETRY_MS },
+      "this zone has lost contact with the platform and cannot check the key",
+      { outcome: "not-run", retryAfterMs: CUT_OFF_RETRY_AFTER_MS },
     );
   }
 }
--- a/src/gateway/mod.ts
+++ b/src/gateway/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The caller side.
+ * The HTTP servers for callers and for forwarded requests.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 export * from "./operation_dispatch.ts";
 export * from "./operation_request.ts";
 export * from "./pacing.ts";
-export * from "./refusal.ts";
+export * from "./failure_response.ts";
 export * from "./relay.ts";
 export * from "./request_path.ts";
 export * from "./routes.ts";
--- a/src/gateway/operation_dispatch.ts
+++ b/src/gateway/operation_dispatch.ts
@@ -1,8 +1,8 @@
 /**
- * Dispatches an operation to an endpoint and reads its whole answer.
+ * Dispatches an operation to an endpoint and reads its whole response.
  *
- * A caller that goes away ends nothing here: the operation may have had its
- * effect already, and only its answer lets the caller's retry know.
+ * A caller's disconnect does not cancel it: the operation may have taken
+ * effect already, and the caller's retry needs the recorded response.
  *
  * @module
  */
@@ -29,11 +29,11 @@
   RecordedAnswer,
   RunResult,
 } from "../operations/mod.ts";
-import { toCaller } from "./headers.ts";
-import { policyFor, type RoutePolicy } from "./routes.ts";
+import { callerHeaders } from "./headers.ts";
+import { type RoutePolicy, routePolicyFor } from "./routes.ts";
 import type { SlotSender } from "./slot_sender.ts";
 
-/** What dispatching needs. */
+/** Dependencies of {@link OperationDispatch}. */
 export interface OperationDispatchDeps {
   readonly clock: Clock;
   readonly dispatcher: Dispatcher;
@@ -42,13 +42,13 @@
   readonly document: () => SteeringDocument;
 }
 
-const DEFAULT_LIMIT_MS = 5_000;
-/** Fits a message between instances; a larger answer cannot be handed on. */
+const DEFAULT_MAX_RUN_MS = 5_000;
+/** Fits a message between instances; a larger response cannot be recorded. */
 const MAX_ANSWER_BYTES = 3_000_000;
-/** Answers that announce a length and have no body. */
+/** Statuses whose responses have no body, even with a content-length. */
 const BODILESS_STATUS = new Set([204, 304]);
 
-/** Runs operations at the endpoints that the dispatcher chooses. */
+/** Runs operations on the endpoints that the dispatcher chooses. */
 export class OperationDispatch implements OperationRunner {
   readonly #deps: OperationDispatchDeps;
 
@@ -56,17 +56,17 @@
     this.#deps = deps;
   }
 
-  maxRunMs(req: OperationRequest): number {
-    return this.#policy(req)?.deadlineMs ?? DEFAULT_LIMIT_MS;
+  limitMs(req: OperationRequest): number {
+    return this.#policy(req)?.deadlineMs ?? DEFAULT_MAX_RUN_MS;
   }
 
-  /** Tries another endpoint only where the last surely did not run it. */
+  /** Retries elsewhere only if the last endpoint certainly did not run it. */
   async run(req: OperationRequest): Promise<RunResult> {
     const startedAt = this.#deps.clock.now();
-    const until = startedAt + this.maxRunMs(req);
-    const waitUntil = Math.min(until, startedAt + req.maxWaitMs);
+    const deadline = startedAt + this.limitMs(req);
+    const waitUntil = Math.min(deadline, startedAt + req.patienceMs);
     const tried = new Set<EndpointId>();
-    let last: RunResult = fail("no_capacity", "no try was made", {
+    let last: RunResult = fail("no_capacity", "no attempt was made", {
       outcome: "not-run",
     });
     const { clock, retries } = this.#deps;
@@ -75,7 +75,7 @@
       const slot = await this.#acquire(req, { exclude: tried, waitUntil });
       if (slot.isErr()) return tried.size === 0 ? err(slot.error) : last;
       tried.add(slot.value.endpoint);
-      last = await this.#try(req, slot.value, until);
+      last = await this.#attempt(req, slot.value, deadline);
       if (last.isOk() || last.error.outcome !== "not-run") return last;
       const waitMs = retries.nextBackoffMs({
         service: req.service,
@@ -90,10 +90,10 @@
     }
   }
 
-  /** Undefined where the document does not know the service any more. */
+  /** Undefined if the document no longer has the service. */
   #policy(req: OperationRequest): RoutePolicy | undefined {
     const service = this.#deps.document().services[req.service];
-    return service && policyFor(service, req.method, req.path);
+    return service && routePolicyFor(service, req.method, req.path);
   }
 
   #acquire(
@@ -113,25 +113,25 @@
     });
   }
 
-  async #try(
+  async #attempt(
     req: OperationRequest,
     slot: Slot,
-    until: number,
+    deadline: number,
   ): Promise<RunResult> {
     const { clock } = this.#deps;
-    const timeoutMs = until - clock.now();
+    const timeoutMs = deadline - clock.now();
     if (timeoutMs <= 0) {
       slot.release("cancelled", clock.now());
-      return fail("deadline_exceeded", "no slot came free in time", {
+      return fail("deadline_exceeded", "no slot became free in time", {
         outcome: "not-run",
       });
     }
-    const result = await this.#exchange(req, slot, timeoutMs);
-    slot.release(workResult(result), clock.now());
+    const result = await this.#sendAndRead(req, slot, timeoutMs);
+    slot.release(slotResult(result), clock.now());
     return result;
   }
 
-  async #exchange(
+  async #sendAndRead(
     req: OperationRequest,
     slot: Slot,
     timeoutMs: number,
@@ -153,13 +153,13 @@
   }
 }
 
-function workResult(result: RunResult): WorkResult {
+function slotResult(result: RunResult): WorkResult {
   if (result.isOk()) return "ok";
   if (result.error.code === "deadline_exceeded") return "timeout";
   return result.error.outcome === "not-run" ? "shed" : "failed";
 }
 
-/** Reads a whole answer; a broken one is no answer, and what ran is unknown. */
+/** Reads a whole response; if that fails, the outcome is unknown. */
 async function readAnswer(
   answer: EndpointAnswer,
   method: string,
@@ -169,34 +169,34 @@
   try {
     for await (const chunk of answer.body) {
       size += (chunk as Buffer).length;
-      if (size > MAX_ANSWER_BYTES) return brokenOff("is too large");
+      if (size > MAX_ANSWER_BYTES) return badAnswer("is too large");
       chunks.push(chunk as Buffer);
     }
   } catch {
-    return brokenOff("broke off");
+    return badAnswer("was cut off");
   }
-  if (!isWhole(answer, { method, size })) return brokenOff("is too short");
-  return ok(recorded(answer, Buffer.concat(chunks)));
+  if (!isComplete(answer, { method, size })) return badAnswer("is too short");
+  return ok(toRecordedAnswer(answer, Buffer.concat(chunks)));
 }
 
-function isWhole(
+function isComplete(
   { status, headers }: EndpointAnswer,
   { method, size }: { method: string; size: number },
 ): boolean {
   if (method === "HEAD" || BODILESS_STATUS.has(status)) return size === 0;
-  const announced = headers["content-length"];
-  return announced === undefined || Number(announced) === size;
+  const contentLength = headers["content-length"];
+  return contentLength === undefined || Number(contentLength) === size;
 }
 
-function recorded(
+function toRecordedAnswer(
   { status, headers }: EndpointAnswer,
   body: Uint8Array,
 ): RecordedAnswer {
-  return { status, headers: toCaller(headers), body };
+  return { status, headers: callerHeaders(headers), body };
 }
 
-function brokenOff(how: string): RunResult {
-  return fail("outcome_unknown", `the endpoint's answer ${how}`, {
+function badAnswer(problem: string): RunResult {
+  return fail("outcome_unknown", `the endpoint's answer ${problem}`, {
     outcome: "unknown",
   });
 }
--- a/src/gateway/operation_dispatch_test.ts
+++ b/src/gateway/operation_dispatch_test.ts
@@ -20,7 +20,7 @@
 import { OperationDispatch } from "./operation_dispatch.ts";
 import { SlotSender } from "./slot_sender.ts";
 
-/** What an endpoint writes back to each request, byte for byte. */
+/** Writes the raw bytes with which an endpoint answers a request. */
 type Script = (socket: Socket, requestNumber: number) => void;
 
 interface Setup {
@@ -29,7 +29,7 @@
   readonly connections: () => number;
 }
 
-/** An endpoint that answers with raw bytes, and a dispatch that uses it. */
+/** Starts an endpoint that answers with raw bytes, and a dispatch to it. */
 async function makeSetup(
   t: ExecutionContext,
   script: Script,
@@ -114,66 +114,72 @@
 }
 
 /**
- * An endpoint breaks HTTP in its answer: short, doubled, or before it was
- * asked. A caller that were given such bytes would take another order's
- * confirmation for its own.
+ * Malformed or incomplete responses. Relayed as they are, a caller could take
+ * another operation's response for its own.
  */
-const BROKEN: { what: string; script: Script; told: string }[] = [
+const MALFORMED_RESPONSES: {
+  what: string;
+  script: Script;
+  expected: string;
+}[] = [
   {
     what: "a body shorter than announced",
     script: (s) => s.end("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf"),
-    told: "unknown",
+    expected: "unknown",
   },
   {
-    what: "a chunked body that breaks off",
+    what: "a chunked body that is cut off",
     script: (s) =>
       s.end("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhal"),
-    told: "unknown",
+    expected: "unknown",
   },
   {
     what: "a connection that ends before any answer",
     script: (s) => s.destroy(),
-    told: "unknown",
+    expected: "unknown",
   },
   {
     what: "bytes that are not HTTP",
     script: (s) => s.write("confirmed\r\n\r\n"),
-    told: "unknown",
+    expected: "unknown",
   },
   {
-    what: "word that it did not run the request",
+    what: "a header that says it did not run the request",
     script: (s) =>
       s.write(
         "HTTP/1.1 503 No\r\nx-not-run: true\r\ncontent-length: 0\r\n\r\n",
       ),
-    told: "not-run",
+    expected: "not-run",
   },
 ];
 
-for (const { what, script, told } of BROKEN) {
+for (const { what, script, expected } of MALFORMED_RESPONSES) {
   test(`an endpoint answers with ${what}`, async (t) => {
     const { run } = await makeSetup(t, script);
-    t.is(textOf(await run("op")), told);
+    t.is(textOf(await run("op")), expected);
   });
 }
 
 /**
- * An endpoint sends its answer twice. The second copy would be taken for the
- * answer to the next request on that connection, another caller's.
+ * An endpoint sends its response twice. The second copy must not be read as
+ * the response to the next request on the connection, another caller's.
  */
-test("a doubled answer never reaches the next request", async (t) => {
+test("a duplicate response never reaches the next request", async (t) => {
   const body = (n: number) =>
     `HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n#${n}`;
   const { run } = await makeSetup(t, (s, n) => s.write(body(n) + body(n)));
   for (let n = 1; n <= 4; n++) {
-    const told = textOf(await run(`op${n}`));
-    t.true(told === `#${n}` || told === "unknown", `request ${n} got ${told}`);
+    const received = textOf(await run(`op${n}`));
+    t.true(
+      received === `#${n}` || received === "unknown",
+      `request ${n} got ${received}`,
+    );
   }
 });
 
 /**
- * Two requests run at the same time. On one connection their answers could
- * cross; each therefore has a connection of its own.
+ * Two concurrent requests on one connection could get each other's responses,
+ * so each has a connection of its own.
  */
 test("one connection carries one request at a time", async (t) => {
   const waiting: { socket: Socket; path: string }[] = [];
@@ -194,10 +200,10 @@
 });
 
 /**
- * An endpoint's answer was cut short and the rest arrives later. Were the
- * connection used again, the rest would be read as the next answer.
+ * A response is cut short and its rest arrives later. On a reused connection
+ * the rest would be read as the next response.
  */
-test("a connection whose answer broke off is not used again", async (t) => {
+test("a connection with an incomplete response is not reused", async (t) => {
   const short = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n";
   const whole = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
   const setup = await makeSetup(t, (s, n) => s.write(n === 1 ? short : whole));
--- a/src/gateway/operation_request.ts
+++ b/src/gateway/operation_request.ts
@@ -1,6 +1,6 @@
 /**
- * Reads a request that is not idempotent as an operation: the body first,
- * since the id stands for it.
+ * Reads a request that is not idempotent as an operation, with its whole body:
+ * the operation's fingerprint covers it.
  *
  * @module
  */
@@ -18,23 +18,23 @@
   type ServiceId,
 } from "../core/mod.ts";
 import type { OperationRequest } from "../operations/mod.ts";
-import { HOME_HEADER, OPERATION_HEADER, toEndpoint } from "./headers.ts";
+import { endpointHeaders, HOME_HEADER, OPERATION_HEADER } from "./headers.ts";
 
-/** A request that was let in. */
-export interface OperationSource {
+/** An admitted request. */
+export interface AdmittedRequest {
   readonly req: Request;
   readonly account: AccountId;
   readonly service: ServiceId;
   readonly path: string;
-  /** When the caller's patience ends, on the clock. */
+  /** When the caller's time-out ends, on the clock. */
   readonly deadline: number;
 }
 
-/** A larger body is refused: it has to be held until the operation ended. */
+/** Larger bodies are rejected: each is held until its operation ends. */
 const MAX_BODY_BYTES = 1_000_000;
 const GENERATED_ID_BYTES = 16;
-/** 128 bits; each record holds a fingerprint. */
-const FINGERPRINT_DIGITS = 32;
+/** 128 bits; kept short, since each record holds a fingerprint. */
+const FINGERPRINT_HEX_DIGITS = 32;
 
 /**
  * Reads an operation; fails with `bad_request`, `value_too_large` or
@@ -46,12 +46,12 @@
  * ```
  */
 export async function readOperation(
-  source: OperationSource,
+  source: AdmittedRequest,
   { clock, random }: { clock: Clock; random: Random },
 ): Promise<Result<OperationRequest, Failure>> {
   const { req, account, service, path, deadline } = source;
-  const given = req.headers[OPERATION_HEADER];
-  const id = OperationId.safeParse(given ?? random.hex(GENERATED_ID_BYTES));
+  const givenId = req.headers[OPERATION_HEADER];
+  const id = OperationId.safeParse(givenId ?? random.hex(GENERATED_ID_BYTES));
   if (!id.success) {
     return fail("bad_request", `${OPERATION_HEADER} is not usable`, {
       outcome: "not-run",
@@ -63,12 +63,12 @@
   return ok({
     account,
     id: id.data,
-    hasGeneratedId: given === undefined,
+    generated: givenId === undefined,
     fingerprint: fingerprintOf(source, body.value),
     service,
     method: req.method,
     path,
-    headers: toEndpoint(req.headers),
+    headers: endpointHeaders(req.headers),
     body: body.value,
     maxWaitMs: deadline - clock.now(),
     ...(typeof home === "string" ? { home } : {}),
@@ -90,14 +90,14 @@
     }
     return ok(Buffer.concat(chunks));
   } catch {
-    return fail("cancelled", "the caller went away", { outcome: "not-run" });
+    return fail("cancelled", "the caller disconnected", { outcome: "not-run" });
   }
 }
 
-function fingerprintOf(source: OperationSource, body: Uint8Array): string {
+function fingerprintOf(source: AdmittedRequest, body: Uint8Array): string {
   return createHash("sha256")
     .update(`${source.service} ${source.req.method} ${source.path}\n`)
     .update(body)
     .digest("hex")
-    .slice(0, FINGERPRINT_DIGITS);
+    .slice(0, FINGERPRINT_HEX_DIGITS);
 }
--- a/src/gateway/pacing.ts
+++ b/src/gateway/pacing.ts
@@ -1,5 +1,5 @@
 /**
- * Sends bytes no faster than this instance's part of a link allows.
+ * Limits traffic to this instance's share of a link's bandwidth.
  *
  * @module
  */
@@ -8,17 +8,17 @@
 import { type Clock, type RegionId, sleep } from "../core/mod.ts";
 import { CHUNK_BYTES, type LinkBudgets } from "../decisions/regions/mod.ts";
 
-/** A link and the clock to wait by. */
+/** A link to a region, its budgets, and the clock for waits. */
 export interface PacedLink {
   readonly links: LinkBudgets;
   readonly to: RegionId;
   readonly clock: Clock;
 }
 
-/** Bytes that the head of a request or an answer is counted as. */
+/** Bytes charged for the head of a request or a response. */
 export const HEAD_BYTES = 600;
 
-/** Resolves once `bytes` may be sent over the link; they are then spent. */
+/** Waits until `bytes` may be sent over the link, and charges them. */
 export async function pace(link: PacedLink, bytes: number): Promise<void> {
   const { links, to, clock } = link;
   for (;;) {
@@ -28,7 +28,7 @@
   }
 }
 
-/** Passes bytes on as the link allows; the sender is held back meanwhile. */
+/** Passes bytes at the rate of the link, with backpressure on the source. */
 export class PacedStream extends Transform {
   readonly #link: PacedLink;
 
@@ -42,15 +42,15 @@
     _encoding: string,
     done: TransformCallback,
   ): void {
-    this.#pass(chunk).then(() => done(), done);
+    this.#pushPaced(chunk).then(() => done(), done);
   }
 
-  async #pass(chunk: Buffer): Promise<void> {
+  async #pushPaced(chunk: Buffer): Promise<void> {
     for (let at = 0; at < chunk.length; at += CHUNK_BYTES) {
-      const piece = chunk.subarray(at, at + CHUNK_BYTES);
-      await pace(this.#link, piece.length);
+      const slice = chunk.subarray(at, at + CHUNK_BYTES);
+      await pace(this.#link, slice.length);
       if (this.destroyed) return;
-      this.push(piece);
+      this.push(slice);
     }
   }
 }
--- a/src/gateway/relay.ts
+++ b/src/gateway/relay.ts
@@ -1,5 +1,5 @@
 /**
- * Brings an endpoint's answer to whoever asked.
+ * Streams an endpoint's response to the requester.
  *
  * @module
  */
@@ -9,24 +9,24 @@
 import type { Clock } from "../core/mod.ts";
 import type { Slot, WorkResult } from "../decisions/steering/mod.ts";
 import type { EndpointAnswer } from "../endpoints/mod.ts";
-import { toCaller } from "./headers.ts";
+import { callerHeaders } from "./headers.ts";
 
-/** Where an answer goes. */
+/** Where a response is written. */
 export interface RelayTarget {
   readonly res: ServerResponse;
   readonly signal: AbortSignal;
   readonly clock: Clock;
-  /** Paces the body over a link. */
+  /** Limits the body to the bandwidth of a link. */
   readonly pace?: Transform | undefined;
 }
 
-/** Streams an answer and gives the slot back when it has ended. */
+/** Streams a response and releases the slot at its end. */
 export async function relay(
   answer: EndpointAnswer,
   slot: Slot,
   { res, signal, clock, pace }: RelayTarget,
 ): Promise<void> {
-  res.writeHead(answer.status, { ...toCaller(answer.headers) });
+  res.writeHead(answer.status, { ...callerHeaders(answer.headers) });
   let result: WorkResult = "ok";
   try {
     if (pace) await pipeline(answer.body, pace, res);
--- a/src/gateway/request_path.ts
+++ b/src/gateway/request_path.ts
@@ -1,5 +1,5 @@
 /**
- * The path of one request: key, account, rate, slot, endpoint, answer.
+ * Handles a request: authentication, rate limit, slot, endpoint, response.
  *
  * @module
  */
@@ -27,16 +27,16 @@
 import type { SteeringDocument } from "../document/mod.ts";
 import type { EndpointAnswer } from "../endpoints/mod.ts";
 import type { Operations } from "../operations/mod.ts";
-import { callerGone } from "./caller_gone.ts";
-import { TIMEOUT_HEADER, toEndpoint } from "./headers.ts";
+import { disconnectSignal } from "./disconnect_signal.ts";
+import { endpointHeaders, TIMEOUT_HEADER } from "./headers.ts";
 import type { KeyRing } from "./key_ring.ts";
 import { readOperation } from "./operation_request.ts";
-import { refuse } from "./refusal.ts";
+import { sendFailure } from "./failure_response.ts";
 import { relay } from "./relay.ts";
-import { policyFor } from "./routes.ts";
+import { routePolicyFor } from "./routes.ts";
 import type { SlotSender } from "./slot_sender.ts";
 
-/** What a request path needs. */
+/** Dependencies of {@link RequestPath}. */
 export interface RequestPathDeps {
   readonly clock: Clock;
   readonly random: Random;
@@ -51,7 +51,7 @@
   readonly outcomes: OutcomeLog;
 }
 
-/** Hears how each request of a known account to a known service ended. */
+/** Records the result of each request of a known account to a known service. */
 export interface OutcomeLog {
   record(
     request: { readonly service: ServiceId; readonly account: AccountId },
@@ -63,7 +63,7 @@
   ): void;
 }
 
-/** A request that was let in. */
+/** A request with a valid key, a known service and a charged rate limit. */
 interface Admitted {
   readonly req: Request;
   readonly account: AccountId;
@@ -75,27 +75,27 @@
   readonly signal: AbortSignal;
 }
 
-/** Takes requests of callers to endpoints and brings the answers back. */
+/** Proxies callers' requests to endpoints. */
 export class RequestPath {
   readonly #deps: RequestPathDeps;
-  #running = 0;
+  #inFlight = 0;
 
   constructor(deps: RequestPathDeps) {
     this.#deps = deps;
   }
 
-  /** Requests that are being worked on. */
+  /** Requests in flight. */
   get running(): number {
-    return this.#running;
+    return this.#inFlight;
   }
 
-  /** Answers one request; `service` and `path` are what its URL names. */
+  /** Handles a request; `service` and `path` are taken from its URL. */
   async handle(
     req: Request,
     res: Response,
     { service, path }: { service: string; path: string },
   ): Promise<void> {
-    this.#running += 1;
+    this.#inFlight += 1;
     const startedAt = this.#deps.clock.now();
     try {
       const done = await this.#handle(req, res, { service, path });
@@ -104,15 +104,15 @@
       const tags = { service: this.#serviceTag(service) };
       this.#deps.metrics.count("requests", { ...tags, result });
       this.#deps.metrics.timing("request.duration", ms, tags);
-      if (done.isErr()) refuse(res, done.error);
+      if (done.isErr()) sendFailure(res, done.error);
     } finally {
-      this.#running -= 1;
+      this.#inFlight -= 1;
     }
   }
 
   /**
-   * What a caller writes into a URL is no tag: it may be a key put in the wrong
-   * place, and each new one would be a new series in the metrics' store.
+   * Unknown names from URLs are not used as tags: one may be a misplaced key,
+   * and each would create a new time series.
    */
   #serviceTag(service: string): string {
     const { services } = this.#deps.document();
@@ -129,7 +129,7 @@
     const startedAt = this.#deps.clock.now();
     const done = admitted.value.idempotent
       ? await this.#stream(admitted.value, res)
-      : await this.#runOnce(admitted.value, res);
+      : await this.#runOperation(admitted.value, res);
     this.#deps.outcomes.record(admitted.value, {
       result: done.isOk() ? "ok" : done.error.code,
       status: res.statusCode,
@@ -151,28 +151,28 @@
       ? services[service as ServiceId]
       : undefined;
     if (entry === undefined) {
-      const message = "the document names no such service";
+      const message = "the document has no such service";
       return fail("not_found", message, { outcome: "not-run" });
     }
-    const policy = policyFor(entry, req.method, path);
-    const timeout = timeoutOf(req, policy.deadlineMs);
+    const policy = routePolicyFor(entry, req.method, path);
+    const timeout = requestTimeoutMs(req, policy.deadlineMs);
     if (timeout.isErr()) return err(timeout.error);
     const deadline = now + timeout.value;
-    const signal = callerGone(res);
-    const within = await this.#deps.limiter.take(account.value, {
+    const signal = disconnectSignal(res);
+    const charge = await this.#deps.limiter.take(account.value, {
       deadline,
       signal,
     });
-    if (within.isErr()) {
+    if (charge.isErr()) {
       this.#deps.outcomes.record(
         { service: service as ServiceId, account: account.value },
         {
-          result: within.error.code,
+          result: charge.error.code,
           status: 0,
           ms: this.#deps.clock.now() - now,
         },
       );
-      return err(within.error);
+      return err(charge.error);
     }
     return ok({
       req,
@@ -186,7 +186,7 @@
     });
   }
 
-  /** Idempotent: streams both ways; retries while nothing was sent on. */
+  /** Idempotent: streams both ways; retries until a response is relayed. */
   async #stream(
     admitted: Admitted,
     res: Response,
@@ -205,7 +205,7 @@
         await relay(answer.value, slot.value, { res, signal, clock });
         return ok(undefined);
       }
-      last = worse(last, answer.error);
+      last = combineFailures(last, answer.error);
       const waitMs = retries.nextBackoffMs({
         ...admitted,
         tries: tried.size,
@@ -214,17 +214,17 @@
       }, clock.now());
       if (waitMs === undefined) return err(last);
       await sleep(clock, waitMs);
-      const paid = await this.#payAgain(admitted, answer.error);
-      if (paid.isErr()) return err(last);
+      const charged = await this.#chargeRetry(admitted, answer.error);
+      if (charged.isErr()) return err(last);
     }
   }
 
   /**
-   * A try that may have run has used its part of the account's rate. Without
-   * this, an account whose endpoints fail would run more than its rate, once
-   * more for each retry.
+   * Charges a retry to the account's rate if the failed attempt may have run.
+   * Otherwise an account with failing endpoints would exceed its rate by one
+   * request for each retry.
    */
-  async #payAgain(
+  async #chargeRetry(
     { account, deadline, signal }: Admitted,
     failed: Failure,
   ): Promise<Result<void, Failure>> {
@@ -233,7 +233,7 @@
   }
 
   /** Not idempotent: runs under an operation id, at most once. */
-  async #runOnce(
+  async #runOperation(
     admitted: Admitted,
     res: Response,
   ): Promise<Result<void, Failure>> {
@@ -255,7 +255,7 @@
     return this.#deps.dispatcher.acquire(req, admitted.signal);
   }
 
-  /** Sends to the slot's endpoint; a failed try gives the slot back. */
+  /** Sends to the slot's endpoint; a failed attempt releases the slot. */
   async #send(
     admitted: Admitted,
     slot: Slot,
@@ -266,7 +266,7 @@
     const answer = await sender.send(slot, {
       ...rest,
       method: req.method,
-      headers: toEndpoint(req.headers),
+      headers: endpointHeaders(req.headers),
       body: hasBody(req) ? body : undefined,
       timeoutMs: deadline - clock.now(),
     });
@@ -277,7 +277,7 @@
   }
 }
 
-/** What a failed try says of the slot it used. */
+/** The result that a failed attempt reports for its slot. */
 export function workResult(failure: Failure): WorkResult {
   if (failure.code === "cancelled") return "cancelled";
   if (failure.code === "deadline_exceeded") return "timeout";
@@ -285,21 +285,27 @@
 }
 
 /**
- * What to tell of several failed tries: the last one, but that it did not run
- * is true only if none of them may have run.
+ * Combines the failures of several attempts: the last one, with outcome
+ * `not-run` only if no attempt may have run.
  */
-export function worse(before: Failure | undefined, last: Failure): Failure {
-  if (before === undefined || before.outcome === "not-run") return last;
+export function combineFailures(
+  previous: Failure | undefined,
+  last: Failure,
+): Failure {
+  if (previous === undefined || previous.outcome === "not-run") return last;
   return { ...last, outcome: "unknown" };
 }
 
-/** Whether a request announces a body. */
+/** Whether a request's headers declare a body. */
 export function hasBody(req: Request): boolean {
   return req.headers["transfer-encoding"] !== undefined ||
     Number(req.headers["content-length"] ?? 0) > 0;
 }
 
-function timeoutOf(req: Request, limitMs: number): Result<number, Failure> {
+function requestTimeoutMs(
+  req: Request,
+  limitMs: number,
+): Result<number, Failure> {
   const given = req.headers[TIMEOUT_HEADER];
   if (given === undefined) return ok(limitMs);
   const ms = Number(given);
--- a/src/gateway/request_path_test.ts
+++ b/src/gateway/request_path_test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import { failure } from "../core/mod.ts";
-import { worse } from "./request_path.ts";
+import { combineFailures } from "./request_path.ts";
 
 const NOT_RUN = failure("endpoint_failed", "shed", { outcome: "not-run" });
 const UNKNOWN = failure("endpoint_failed", "broke", { outcome: "unknown" });
@@ -25,13 +25,13 @@
 ] as const;
 
 for (const { name, tries, outcome } of TRIES) {
-  test(`tries told as one, ${name}: ${outcome}`, (t) => {
-    // The first endpoint broke off half way and the second refused at once.
-    // Told as not run, the caller would believe that nothing happened.
-    const told = tries.reduce(
-      (last, next) => worse(last, next),
-      undefined as Parameters<typeof worse>[0],
+  test(`combined failure of attempts, ${name}: ${outcome}`, (t) => {
+    // The first endpoint fails part-way and the second sheds the request. With
+    // outcome not-run the caller would assume that nothing was executed.
+    const combined = tries.reduce(
+      (last, next) => combineFailures(last, next),
+      undefined as Parameters<typeof combineFailures>[0],
     );
-    t.is(told?.outcome, outcome);
+    t.is(combined?.outcome, outcome);
   });
 }
--- a/src/gateway/retry_rate_test.ts
+++ b/src/gateway/retry_rate_test.ts
@@ -34,7 +34,7 @@
   })._unsafeUnwrap();
 }
 
-/** A request path whose first try fails as given and whose second answers. */
+/** A request path whose first attempt fails as given; the second succeeds. */
 function setup(first: Failure) {
   let taken = 0;
   let tries = 0;
@@ -110,21 +110,21 @@
 
 const FIRST_TRIES = [
   {
-    name: "that may have run spends the rate again",
+    name: "that may have run is charged to the rate limit",
     outcome: "unknown",
     taken: 2,
   },
   {
-    name: "that did not run spends nothing more",
+    name: "that did not run is not charged again",
     outcome: "not-run",
     taken: 1,
   },
 ] as const;
 
 for (const { name, outcome, taken } of FIRST_TRIES) {
-  test(`a retry after a try ${name}`, async (t) => {
-    // An endpoint takes requests and breaks off. Each is tried elsewhere; if
-    // those tries were free, the account would run up to three times its rate.
+  test(`a retry after an attempt ${name}`, async (t) => {
+    // An endpoint accepts requests and closes the connection. With uncharged
+    // retries the account would run up to three times its rate.
     const { path, counts } = setup(
       failure("endpoint_failed", "broke", { outcome }),
     );
--- a/src/gateway/routes.ts
+++ b/src/gateway/routes.ts
@@ -1,20 +1,20 @@
 /**
- * What the document says of a request's method and path.
+ * Finds the policy of a request by its method and path.
  *
  * @module
  */
 import type { Service } from "../document/mod.ts";
 
-/** What holds for one request. */
+/** The policy of the route that a request matches. */
 export interface RoutePolicy {
   readonly idempotent: boolean;
   readonly deadlineMs: number;
-  /** Names the route, as a kind of work whose time is learned. */
+  /** Class of work for duration estimates: the index of the route. */
   readonly work: string;
 }
 
-/** Finds the first route that matches; without one, a request is not idempotent. */
-export function policyFor(
+/** Uses the first matching route; without one, a request is not idempotent. */
+export function routePolicyFor(
   service: Service,
   method: string,
   path: string,
--- a/src/gateway/slot_sender.ts
+++ b/src/gateway/slot_sender.ts
@@ -15,27 +15,27 @@
   EndpointRequest,
 } from "../endpoints/mod.ts";
 import {
+  checkPeerFailure,
   forwardHeaders,
   type ForwardIdentity,
   pacedBody,
-  pathAt,
-  peerFailure,
+  slotPath,
 } from "./forwarding.ts";
 import { HEAD_BYTES, pace } from "./pacing.ts";
 
-/** A request for a slot; its headers are those an endpoint may see. */
+/** A request for a slot, with the headers for the endpoint. */
 export interface SlotRequest extends Omit<EndpointRequest, "url"> {
   readonly service: ServiceId;
   readonly idempotent: boolean;
   readonly work?: string;
 }
 
-/** What sending needs. */
+/** Dependencies of {@link SlotSender}. */
 export interface SlotSenderDeps {
   readonly clock: Clock;
   readonly endpoints: EndpointClient;
   readonly links: LinkBudgets;
-  /** How this instance names itself where it forwards. */
+  /** Identity that this instance presents to other entry instances. */
   readonly identity: ForwardIdentity;
 }
 
@@ -56,21 +56,21 @@
     if (forward === undefined) return await endpoints.send({ ...req, url });
     const startedAt = clock.now();
     const body = forward.crossesLink
-      ? await this.#overLink(forward.region, req.body)
+      ? await this.#paceBody(forward.region, req.body)
       : req.body;
     const answer = await endpoints.send({
       ...req,
       url,
       body,
-      path: pathAt(slot, req.service, req.path),
+      path: slotPath(slot, req.service, req.path),
       headers: { ...req.headers, ...forwardHeaders(identity, req) },
       timeoutMs: req.timeoutMs - (clock.now() - startedAt),
     });
-    return answer.andThen((a) => peerFailure(a));
+    return answer.andThen((a) => checkPeerFailure(a));
   }
 
-  /** What goes to another region keeps to this instance's part of the link. */
-  async #overLink(
+  /** Limits a request to another region to this instance's share of the link. */
+  async #paceBody(
     to: Parameters<LinkBudgets["spend"]>[0],
     body: Readable | Uint8Array | undefined,
   ): Promise<Readable | undefined> {
