--- a/src/gateway/forwarding.ts
+++ b/src/gateway/forwarding.ts
@@ -2,8 +2,9 @@
  * Requests forwarded between entry instances: the sending side.
  *
  * A forwarded request carries the account that the first instance found for
- * the key, never the key, and the remaining time. A receiver of the forwarding
- * path never forwards again, so there are no loops.
+ * the key, never the key, and the remaining time. Only peers may use the
+ * forwarding path, and they never forward such a request again, so that no
+ * request can loop.
  *
  * @module
  */
--- a/src/gateway/request_path.ts
+++ b/src/gateway/request_path.ts
@@ -221,7 +221,7 @@
 
   /**
    * Charges a retry to the account's rate if the failed attempt may have run.
-   * Otherwise an account with failing endpoints would exceed its rate by one
+   * Without it, an account with failing endpoints would exceed its rate by one
    * request for each retry.
    */
   async #chargeRetry(
--- a/src/gateway/retry_rate_test.ts
+++ b/src/gateway/retry_rate_test.ts
@@ -34,7 +34,7 @@
   })._unsafeUnwrap();
 }
 
-/** A request path whose first attempt fails as given; the second succeeds. */
+/** A pipeline whose first attempt fails as given; the second succeeds. */
 function setup(first: Failure) {
   let taken = 0;
   let tries = 0;
