--- a/src/gateway/operation_dispatch.ts
+++ b/src/gateway/operation_dispatch.ts
@@ -56,15 +56,15 @@
     this.#deps = deps;
   }
 
-  limitMs(req: OperationRequest): number {
+  maxRunMs(req: OperationRequest): number {
     return this.#policy(req)?.deadlineMs ?? DEFAULT_MAX_RUN_MS;
   }
 
   /** Retries elsewhere only if the last endpoint certainly did not run it. */
   async run(req: OperationRequest): Promise<RunResult> {
     const startedAt = this.#deps.clock.now();
-    const deadline = startedAt + this.limitMs(req);
-    const waitUntil = Math.min(deadline, startedAt + req.patienceMs);
+    const deadline = startedAt + this.maxRunMs(req);
+    const waitUntil = Math.min(deadline, startedAt + req.maxWaitMs);
     const tried = new Set<EndpointId>();
     let last: RunResult = fail("no_capacity", "no attempt was made", {
       outcome: "not-run",
--- a/src/gateway/operation_request.ts
+++ b/src/gateway/operation_request.ts
@@ -63,7 +63,7 @@
   return ok({
     account,
     id: id.data,
-    generated: givenId === undefined,
+    hasGeneratedId: givenId === undefined,
     fingerprint: fingerprintOf(source, body.value),
     service,
     method: req.method,
