--- a/src/edge/edge_instance.ts
+++ b/src/edge/edge_instance.ts
@@ -168,7 +168,7 @@
       peersFirstMs: cfg.firstStart ? FIRST_START_MS : 0,
       relay: (changes) => this.#member.relay(changes),
       fetch: (kind, atLeast, signal) => {
-        const from = this.#member.knowing(kind, atLeast);
+        const from = this.#member.instancesWithRevision(kind, atLeast);
         return this.#snapshots.fetch(kind, from, signal);
       },
     });
@@ -176,10 +176,10 @@
       profile: this.#profile,
       capacity: cfg.capacity,
       firstStart: cfg.firstStart,
-      assumed: cfg.zones.size * ASSUMED_PER_ZONE,
+      assumedFleetSize: cfg.zones.size * ASSUMED_PER_ZONE,
       seeds: cfg.seeds.filter((seed) => seed !== cfg.listen.digest),
       transport: opts.transport,
-      book: this.#book,
+      dictionary: this.#book,
       clock,
       random,
       log,
@@ -242,7 +242,7 @@
     const plan = stopPlan(this.#graceMs);
     this.#leaving = true;
     this.#server?.leave();
-    this.#member.tell();
+    this.#member.sendDigestNow();
     log.event("stop_begun", { graceMs: this.#graceMs });
     const began = clock.now();
     await sleep(clock, plan.stopListeningMs);
--- a/src/fleet/fleet_limits_test.ts
+++ b/src/fleet/fleet_limits_test.ts
@@ -34,7 +34,7 @@
     const fleet = new MemberFleet(["a1", "b1", "c1"], perZone);
     const limited = new LimitedFleet(fleet);
     await Promise.resolve();
-    fleet.pass(6_000);
+    fleet.advance(6_000);
     return limited;
   }
 
@@ -44,7 +44,7 @@
     const { clock, members } = this.#fleet;
     const perStep = RATE_PER_S * times * STEP_MS / 1_000 / members.length;
     for (let left = forMs; left > 0; left -= STEP_MS) {
-      this.#fleet.pass(STEP_MS);
+      this.#fleet.advance(STEP_MS);
       for (const [member, sends] of this.#sends) {
         if (!member.alive) continue;
         for (let i = arrivals(perStep, this.#random); i > 0; i--) {
@@ -82,7 +82,7 @@
     });
     sends.track(E1, this.#fleet.clock.now());
     this.#sends.set(member, sends);
-    member.takes = {
+    member.consumer = {
       reported: (report, now) => {
         const from = { ...report, instance: report.group };
         demand.applyReport(from, report.uses);
--- a/src/fleet/fleet_member.ts
+++ b/src/fleet/fleet_member.ts
@@ -72,11 +72,11 @@
   /** Whether the whole fleet starts for the first time. */
   readonly firstStart: boolean;
   /** Minimum fleet size until the instance list is read. */
-  readonly assumed: number;
+  readonly assumedFleetSize: number;
   readonly seeds: readonly string[];
   readonly transport: DatagramTransport;
   /** Resolves the hashed names in digests; callers add the names they learn. */
-  readonly book: NameDictionary;
+  readonly dictionary: NameDictionary;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Log;
@@ -113,7 +113,7 @@
     const { profile, capacity, clock, random, log, seeds, events } = opts;
     this.#start = random.hex(START_ID_BYTES);
     this.#datagrams = new Datagrams(opts.transport, log);
-    this.#peers = new PeerTable(profile, opts.assumed, {
+    this.#peers = new PeerTable(profile, opts.assumedFleetSize, {
       reported: (digest, now) => this.#reported(digest, now),
       suspect: ({ profile }) => this.#suspect(profile.id),
       unreachable: ({ profile }) => this.#unreachable(profile.id),
@@ -130,7 +130,7 @@
     this.#roles = new ZoneRoles({ id: profile.id, capacity }, firstStart);
     const common = {
       datagrams: this.#datagrams,
-      dictionary: opts.book,
+      dictionary: opts.dictionary,
       peers: this.#peers,
       clock,
       random,
@@ -161,7 +161,7 @@
     });
     this.#datagrams.onDecoded(
       "aggregate",
-      (bytes) => decodeAggregate(bytes, opts.book),
+      (bytes) => decodeAggregate(bytes, opts.dictionary),
       (aggregate) => this.#onAggregate(aggregate),
     );
     dispatchBundles(this.#datagrams);
@@ -189,7 +189,7 @@
   }
 
   /** Sends a digest now, as after a change that others need at once. */
-  tell(): void {
+  sendDigestNow(): void {
     this.#digests.sendNow();
   }
 
@@ -218,7 +218,10 @@
   }
 
   /** Instances that received a revision of a kind, those of the zone first. */
-  knowing(kind: string, revision: number): readonly InstanceProfile[] {
+  instancesWithRevision(
+    kind: string,
+    revision: number,
+  ): readonly InstanceProfile[] {
     const known = this.#peers.peers().filter((p) =>
       !p.suspect && p.state !== "leaving" &&
       (p.changes.get(kind) ?? 0) >= revision
--- a/src/fleet/fleet_member_test.ts
+++ b/src/fleet/fleet_member_test.ts
@@ -14,7 +14,7 @@
 async function fleetOf(perZone: number): Promise<MemberFleet> {
   const fleet = new MemberFleet(ZONES, perZone);
   await Promise.resolve();
-  fleet.pass(SETTLE_TIME_MS);
+  fleet.advance(SETTLE_TIME_MS);
   return fleet;
 }
 
@@ -76,7 +76,7 @@
   for (const member of members) {
     if (member.roles.isStoreWatcher) fleet.kill(member);
   }
-  fleet.pass(1_200);
+  fleet.advance(1_200);
   const alive = members.filter((m) => m.alive);
   t.is(alive.length, 2);
   t.true(alive.every((m) => m.roles.isStoreWatcher));
@@ -102,7 +102,7 @@
   // Every change wakes every watcher, at the cost of a call each.
   const fleet = await fleetOf(PER_ZONE);
   for (const zone of ZONES) {
-    const members = fleet.of(zone);
+    const members = fleet.membersOf(zone);
     const watchers = members.filter((m) => m.roles.isStoreWatcher);
     t.deepEqual(watchers, members.slice(0, 2));
     t.is(members.filter((m) => m.roles.isRelay).length, 1);
@@ -114,7 +114,7 @@
   // three cross between regions; 78 instances send seven times as many.
   const fleet = await fleetOf(PER_ZONE);
   const before = { ...fleet.sent };
-  fleet.pass(1_000);
+  fleet.advance(1_000);
   const perInstance = (fleet.sent.count - before.count) / fleet.members.length;
   t.true(perInstance < 16, `${perInstance} datagrams a second`);
   const across = fleet.sent.acrossBytes - before.acrossBytes;
@@ -124,10 +124,10 @@
 test("demand and admissions of all instances are known everywhere", async (t) => {
   const fleet = await fleetOf(PER_ZONE);
   for (const member of fleet.members) use(member, 1, 10);
-  fleet.pass(2_000);
+  fleet.advance(2_000);
   const before = fleet.members.map((member) => reported(member).admitted);
   for (const member of fleet.members) use(member, 1, 15);
-  fleet.pass(2_000);
+  fleet.advance(2_000);
   // Counters are compared by their increase: admissions before the first report
   // of an account are part of the reported level.
   for (const [i, member] of fleet.members.entries()) {
@@ -142,12 +142,12 @@
   // returned tokens and admit those requests a second time.
   const fleet = await fleetOf(PER_ZONE);
   for (const member of fleet.members) use(member, 1, 10);
-  fleet.pass(1_000);
-  const [one] = fleet.of("a1");
+  fleet.advance(1_000);
+  const [one] = fleet.membersOf("a1");
   const before = reported(one!).admitted;
-  const gone = fleet.of("b1")[3]!;
+  const gone = fleet.membersOf("b1")[3]!;
   fleet.kill(gone);
-  fleet.pass(3_000);
+  fleet.advance(3_000);
   t.true(reported(one!).admitted >= before);
 });
 
@@ -155,10 +155,10 @@
   // The other instances of the zone keep serving, and callers must still be sent
   // to them.
   const fleet = await fleetOf(PER_ZONE);
-  const relay = fleet.of("b1").find((m) => m.roles.isRelay)!;
+  const relay = fleet.membersOf("b1").find((m) => m.roles.isRelay)!;
   fleet.kill(relay);
-  fleet.pass(3_000);
-  const [one] = fleet.of("a1");
+  fleet.advance(3_000);
+  const [one] = fleet.membersOf("a1");
   const serving = one!.member.serving().map((p) => p.id);
   t.is(serving.filter((id) => id.startsWith("b1")).length, PER_ZONE - 1);
   t.false(serving.includes(relay.profile.id));
@@ -167,30 +167,32 @@
 test("another instance watches the store when a watcher fails or is rejected", async (t) => {
   // Drains of endpoints must take effect within two seconds after they are stored.
   const fleet = await fleetOf(PER_ZONE);
-  const [first, second, ...weaker] = fleet.of("c1");
+  const [first, second, ...weaker] = fleet.membersOf("c1");
   fleet.kill(first!);
   second!.storeInTouch = false;
-  fleet.pass(1_500);
+  fleet.advance(1_500);
   const watchers = () => weaker.filter((m) => m.roles.isStoreWatcher).length;
   t.true(watchers() >= 2);
   // A third may have taken over before it received that the second did.
-  fleet.pass(4_000);
+  fleet.advance(4_000);
   t.is(watchers(), 2);
 });
 
 test("during a store outage few instances keep watching", async (t) => {
   const fleet = await fleetOf(PER_ZONE);
   for (const member of fleet.members) member.storeInTouch = false;
-  fleet.pass(10_000);
+  fleet.advance(10_000);
   for (const zone of ZONES) {
-    const watchers = fleet.of(zone).filter((m) => m.roles.isStoreWatcher);
+    const watchers = fleet.membersOf(zone).filter((m) =>
+      m.roles.isStoreWatcher
+    );
     t.true(watchers.length <= 5, `${watchers.length} watchers`);
   }
 });
 
 test("store changes are relayed to the zone's instances that do not watch", async (t) => {
   const fleet = await fleetOf(PER_ZONE);
-  const [first] = fleet.of("a1");
+  const [first] = fleet.membersOf("a1");
   const batch: RelayedChanges = {
     kind: "endpoints",
     after: 3,
@@ -202,7 +204,7 @@
   const large = "x".repeat(20_000);
   first!.member.relay({ ...batch, changes: [{ raw: large, deleted: false }] });
   const got = fleet.members.filter((m) => m.relayed.length > 0);
-  t.deepEqual(got, fleet.of("a1").slice(2));
+  t.deepEqual(got, fleet.membersOf("a1").slice(2));
   t.deepEqual(got[0]?.relayed[0], batch);
   // Too large for a datagram: the change is announced and has to be fetched.
   t.is(got[0]?.relayed[1]?.changes, undefined);
@@ -211,9 +213,9 @@
 test("requests in flight are summed over a zone's instances", async (t) => {
   const fleet = await fleetOf(PER_ZONE);
   const endpoint = "e1" as EndpointId;
-  for (const member of fleet.of("b2")) member.inFlight.set(endpoint, 2);
-  fleet.pass(1_500);
-  const [one] = fleet.of("a1");
+  for (const member of fleet.membersOf("b2")) member.inFlight.set(endpoint, 2);
+  fleet.advance(1_500);
+  const [one] = fleet.membersOf("a1");
   const sum = [...one!.groups.values()]
     .reduce((n, { inFlight }) => n + (inFlight.get(endpoint) ?? 0), 0);
   t.is(sum, 2 * PER_ZONE);
@@ -222,7 +224,7 @@
 test("invalid datagrams are ignored", async (t) => {
   // Any host can send to an open port.
   const fleet = await fleetOf(PER_ZONE);
-  const [one] = fleet.of("a1");
+  const [one] = fleet.membersOf("a1");
   const before = one!.groups.size;
   for (let sort = 0; sort < 8; sort++) {
     for (const text of ["", "{", "null", "[]", `{"k":1}`, `{"k":"plans"}`]) {
@@ -237,10 +239,10 @@
   // The relay is the only source of the others' state. Until its successor
   // publishes, shares of rates are reserved.
   const fleet = await fleetOf(PER_ZONE);
-  const candidate = fleet.of("a2").find((m) => m.roles.isRelay);
-  const others = fleet.of("a2").filter((m) => m !== candidate);
+  const candidate = fleet.membersOf("a2").find((m) => m.roles.isRelay);
+  const others = fleet.membersOf("a2").filter((m) => m !== candidate);
   fleet.kill(candidate!);
-  fleet.pass(2_000);
+  fleet.advance(2_000);
   for (const other of others) {
     t.is(knownInstanceCount(other), fleet.members.length - 1);
     t.is(other.member.serving().length, fleet.members.length - 2);
@@ -251,15 +253,15 @@
   // If a leaving relay kept its role until it ends, its zone would be suspect for
   // a second, with its share of every account's rate reserved.
   const fleet = await fleetOf(PER_ZONE);
-  const relay = fleet.of("b1").find((m) => m.roles.isRelay);
-  const one = fleet.of("a1").find((m) => m.roles.isRelay);
+  const relay = fleet.membersOf("b1").find((m) => m.roles.isRelay);
+  const one = fleet.membersOf("a1").find((m) => m.roles.isRelay);
   const group = one!.groups.get("zone b1")!;
   relay!.state = "leaving";
-  fleet.pass(1_500);
+  fleet.advance(1_500);
   t.not(one!.groups.get("zone b1")?.start, group.start);
   fleet.kill(relay!);
   one!.suspect.length = 0;
-  fleet.pass(4_000);
+  fleet.advance(4_000);
   t.deepEqual(one!.suspect, []);
   const serving = one!.member.serving().map((p) => p.id);
   t.is(serving.filter((id) => id.startsWith("b1")).length, PER_ZONE - 1);
@@ -271,19 +273,19 @@
   const fleet = new MemberFleet(ZONES, PER_ZONE);
   for (const member of fleet.members) member.state = "starting";
   await Promise.resolve();
-  fleet.pass(SETTLE_TIME_MS);
-  const last = fleet.of("a1").at(-1)!;
-  t.true(last.member.knowing("plans", 1).length > 0);
+  fleet.advance(SETTLE_TIME_MS);
+  const last = fleet.membersOf("a1").at(-1)!;
+  t.true(last.member.instancesWithRevision("plans", 1).length > 0);
 });
 
 // Guards against a zone without gossip for longer than partitioned instances may
 // keep their share of rates.
 test("a relay that fails is replaced within a second", async (t) => {
   const fleet = await fleetOf(PER_ZONE);
-  const relay = fleet.of("c2").find((m) => m.roles.isRelay)!;
+  const relay = fleet.membersOf("c2").find((m) => m.roles.isRelay)!;
   fleet.kill(relay);
-  fleet.pass(1_000);
-  const others = fleet.of("c2").filter((m) => m !== relay);
+  fleet.advance(1_000);
+  const others = fleet.membersOf("c2").filter((m) => m !== relay);
   t.is(others.filter((m) => m.roles.isRelay).length, 1);
 });
 
@@ -294,7 +296,7 @@
     const [first, ...others] = fleet.members;
     const learnedAt = fleet.clock.now();
     first?.limits.set(E1, { ratePerS: 6.6, at: learnedAt });
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     for (const { groups, profile } of others) {
       const known = [...groups.values()].flatMap(({ limits }) =>
         limits.get(E1) ?? []
--- a/src/fleet/fleet_rates_test.ts
+++ b/src/fleet/fleet_rates_test.ts
@@ -12,9 +12,9 @@
 test("with relays, requests of an account within its rate are admitted", async (t) => {
   const fleet = await RatedFleet.start(ZONES, PER_ZONE, { ratePerS: 388 });
   fleet.run(6_000, 0.6);
-  const before = fleet.asked;
+  const before = fleet.requested;
   const passed = fleet.run(6_000, 0.6);
-  t.true(passed >= (fleet.asked - before) * 0.97, `${passed}`);
+  t.true(passed >= (fleet.requested - before) * 0.97, `${passed}`);
 });
 
 // Guards against admitting the same rate at several instances.
@@ -46,10 +46,10 @@
   const fleet = await RatedFleet.start(ZONES, PER_ZONE, { ratePerS: 388 });
   fleet.run(6_000, 2);
   // The busiest instance, with a third of the demand, is not a relay.
-  fleet.cut(fleet.some(3, 1));
+  fleet.cut(fleet.consecutiveMembers(3, 1));
   for (let i = 0; i < 8; i++) {
     fleet.run(500, 2);
-    t.true(fleet.shares() <= 1.1, `${fleet.shares()}`);
+    t.true(fleet.totalShare() <= 1.1, `${fleet.totalShare()}`);
   }
 });
 
@@ -59,9 +59,9 @@
   fleet.run(6_000, 0.6);
   fleet.kill(fleet.relays());
   fleet.run(2_000, 0.6);
-  const before = fleet.asked;
+  const before = fleet.requested;
   const passed = fleet.run(4_000, 0.6);
-  const asked = fleet.asked - before;
+  const asked = fleet.requested - before;
   t.true(passed >= asked * 0.95, `${passed} of ${asked}`);
 });
 
@@ -97,10 +97,12 @@
             if (event.kind === "demand") times = event.times;
             if (event.kind === "heal") fleet.heal();
             if (event.kind === "cut") {
-              fleet.cut(fleet.some(event.first, event.count));
+              fleet.cut(fleet.consecutiveMembers(event.first, event.count));
             }
             if (event.kind === "restart") {
-              await fleet.restart(fleet.some(event.first, event.count));
+              await fleet.restart(
+                fleet.consecutiveMembers(event.first, event.count),
+              );
             }
             fleet.run(1_500, times);
           }
--- a/src/fleet/testing/member_fleet.ts
+++ b/src/fleet/testing/member_fleet.ts
@@ -51,7 +51,7 @@
   cut: boolean;
   receive: (bytes: Uint8Array) => void;
   /** Consumer of the events and source of reports; none by default. */
-  takes?: {
+  consumer?: {
     readonly reported: (report: GroupReport, now: number) => void;
     readonly suspect?: (group: InstanceId) => void;
     readonly removed?: (group: InstanceId) => void;
@@ -70,12 +70,12 @@
 
   reported(report: GroupReport, now: number): void {
     this.#entry.groups.set(report.group, report);
-    this.#entry.takes?.reported(report, now);
+    this.#entry.consumer?.reported(report, now);
   }
 
   suspect(group: InstanceId): void {
     this.#entry.suspect.push(group);
-    this.#entry.takes?.suspect?.(group);
+    this.#entry.consumer?.suspect?.(group);
   }
 
   unreachable(group: InstanceId): void {
@@ -84,7 +84,7 @@
 
   removed(group: InstanceId): void {
     this.#entry.groups.delete(group);
-    this.#entry.takes?.removed?.(group);
+    this.#entry.consumer?.removed?.(group);
   }
 
   roles(roles: Roles): void {
@@ -107,7 +107,7 @@
   /** Datagrams and bytes sent, and bytes sent between regions. */
   readonly sent = { count: 0, bytes: 0, acrossBytes: 0 };
   /** Names known to all members, as from the plan and the registry. */
-  readonly book = new NameDictionary();
+  readonly dictionary = new NameDictionary();
   readonly #random = new SeededRandom(1);
   readonly #byAddress = new Map<string, TestMember>();
 
@@ -122,7 +122,7 @@
     }
   }
 
-  of(zone: string): TestMember[] {
+  membersOf(zone: string): TestMember[] {
     return this.members.filter((m) => m.profile.zone === zone);
   }
 
@@ -131,7 +131,7 @@
     void member.member.close();
   }
 
-  pass(ms: number): void {
+  advance(ms: number): void {
     for (let left = ms; left > 0; left -= STEP_MS) this.clock.advance(STEP_MS);
   }
 
@@ -187,11 +187,11 @@
       profile,
       capacity,
       firstStart,
-      assumed: 2,
+      assumedFleetSize: 2,
       seeds: [],
       transport: this.#transport(profile, () => entry),
       clock: this.clock,
-      book: this.book,
+      dictionary: this.dictionary,
       random: this.#random,
       log: new SilentLog(),
       report: () => ({
@@ -201,14 +201,14 @@
         storeInTouch: entry.storeInTouch,
         changes: new Map([["plans", 1]]),
         limits: entry.limits,
-        reservations: entry.takes?.reservations() ?? [],
+        reservations: entry.consumer?.reservations() ?? [],
       }),
       events: new Recorder(entry),
     });
   }
 
   /** Usage and requests in flight of a member; adds their names for all. */
-  #usage({ uses: set, inFlight, limits, takes }: TestMember) {
+  #usage({ uses: set, inFlight, limits, consumer: takes }: TestMember) {
     const uses = takes?.report(this.clock.now()) ?? set;
     for (
       const name of [
@@ -218,7 +218,7 @@
         ...limits.keys(),
       ]
     ) {
-      this.book.add(name);
+      this.dictionary.add(name);
     }
     return { uses, inFlight };
   }
--- a/src/fleet/testing/rated_fleet.ts
+++ b/src/fleet/testing/rated_fleet.ts
@@ -26,7 +26,7 @@
   readonly #quotas = new Map<TestMember, AccountQuotas>();
   readonly #random = new SeededRandom(5);
   readonly #admitted = new AdmissionTimes();
-  asked = 0;
+  requested = 0;
 
   private constructor(fleet: MemberFleet, rate: { readonly ratePerS: number }) {
     this.#fleet = fleet;
@@ -43,7 +43,7 @@
     const fleet = new MemberFleet(zones, perZone);
     const rated = new RatedFleet(fleet, rate);
     await Promise.resolve();
-    fleet.pass(SETTLE_TIME_MS);
+    fleet.advance(SETTLE_TIME_MS);
     return rated;
   }
 
@@ -52,7 +52,7 @@
   }
 
   /** Consecutive members from index `first`, wrapping around. */
-  some(first: number, count: number): TestMember[] {
+  consecutiveMembers(first: number, count: number): TestMember[] {
     const { members } = this.#fleet;
     return Array.from(
       { length: count },
@@ -73,13 +73,13 @@
     for (const member of members) {
       this.#fleet.kill(member);
       this.#quotas.delete(member);
-      delete member.takes;
+      delete member.consumer;
     }
   }
 
   async restart(members: readonly TestMember[]): Promise<void> {
     this.kill(members);
-    this.#fleet.pass(DOWNTIME_MS);
+    this.#fleet.advance(DOWNTIME_MS);
     for (const member of members) this.#fleet.restart(member);
     await Promise.resolve();
     for (const member of members) this.#attachQuotas(member);
@@ -94,7 +94,7 @@
     const { clock, members } = this.#fleet;
     const perStep = this.account.ratePerS * times * STEP_MS / 1_000;
     for (let left = forMs; left > 0; left -= STEP_MS) {
-      this.#fleet.pass(STEP_MS);
+      this.#fleet.advance(STEP_MS);
       for (const [i, member] of members.entries()) {
         const part = i === 3 ? 1 / 3 : 2 / 3 / (members.length - 1);
         this.#sendRequests(member, perStep * part, clock.now());
@@ -104,7 +104,7 @@
   }
 
   /** Sum of the members' shares of the rate. */
-  shares(): number {
+  totalShare(): number {
     const now = this.#fleet.clock.now();
     return [...this.#quotas.values()]
       .reduce((sum, quotas) => sum + quotas.take(this.account, now).share, 0);
@@ -123,7 +123,7 @@
     });
     quotas.adopt([this.account], this.#fleet.clock.now());
     this.#quotas.set(member, quotas);
-    member.takes = {
+    member.consumer = {
       reported: (report, now) =>
         quotas.applyReport(
           { ...report, instance: report.group },
@@ -141,7 +141,7 @@
     const quotas = this.#quotas.get(member);
     if (quotas === undefined) return;
     const asked = arrivals(expected, this.#random);
-    this.asked += asked;
+    this.requested += asked;
     for (let i = 0; i < asked; i++) {
       if (quotas.take(this.account, now).admitted) this.#admitted.add(now);
     }
--- a/tools/bench/fleet.ts
+++ b/tools/bench/fleet.ts
@@ -57,10 +57,10 @@
   for (const [i, member] of fleet.members.entries()) {
     engage(member, i, fleet, { accounts, endpoints });
   }
-  fleet.pass(SETTLE_MS);
+  fleet.advance(SETTLE_MS);
   const before = { ...fleet.sent };
   const cpu = process.cpuUsage();
-  fleet.pass(MEASURED_S * MS_PER_S);
+  fleet.advance(MEASURED_S * MS_PER_S);
   const { user, system } = process.cpuUsage(cpu);
   const per = fleet.members.length * MEASURED_S;
   return {
@@ -91,7 +91,7 @@
   quotas.adopt(all, fleet.clock.now());
   const load = new PeerLoad(() => undefined);
   const busy = Math.min(BUSY_ACCOUNTS, all.length);
-  member.takes = {
+  member.consumer = {
     reported: (news, now) => {
       quotas.applyReport({ ...news, instance: news.group }, news.uses, now);
       load.reported(news.group, news.inFlight);
