--- a/src/endpoints/prober.ts
+++ b/src/endpoints/prober.ts
@@ -30,7 +30,7 @@
   readonly schedule: ProbeSchedule;
   readonly targets: () => readonly ProbeTarget[];
   /** Other live instances of the zone. */
-  readonly zoneMates: () => readonly string[];
+  readonly zonePeers: () => readonly string[];
   readonly onHint: (endpoint: EndpointId, hint: LoadHint) => void;
 }
 
@@ -55,7 +55,7 @@
     for (const id of this.#results.keys()) {
       if (!targets.has(id)) this.#results.delete(id);
     }
-    const peers = this.#deps.zoneMates();
+    const peers = this.#deps.zonePeers();
     for (const id of this.#deps.schedule.due([...targets.keys()], peers, now)) {
       const target = targets.get(id);
       if (!target?.connectionFree || this.#probing.has(id)) continue;
--- a/src/endpoints/prober_test.ts
+++ b/src/endpoints/prober_test.ts
@@ -53,7 +53,7 @@
       schedule: new ProbeSchedule(self, new SeededRandom(seed)),
       targets: () =>
         ENDPOINTS.map((id) => ({ id, url: id, connectionFree: true })),
-      zoneMates: () => MEMBERS.filter((m) => m !== self),
+      zonePeers: () => MEMBERS.filter((m) => m !== self),
       onHint: (endpoint, hint) => hints.set(endpoint, hint),
     });
     return { prober, hints };
--- a/src/gateway/key_ring.ts
+++ b/src/gateway/api_key_table.ts
@@ -27,7 +27,7 @@
 const CUT_OFF_RETRY_AFTER_MS = 5_000;
 
 /** Accounts by SHA-256 of their keys; the keys themselves are not stored. */
-export class KeyRing {
+export class ApiKeyTable {
   readonly #contactAgeMs: () => number;
   #owners = new Map<string, KeyOwner>();
 
--- a/src/gateway/caller_app.ts
+++ b/src/gateway/caller_app.ts
@@ -13,7 +13,7 @@
 import { checkValue, failure, fromZod, ServiceId } from "../core/mod.ts";
 import type { EntryChoice } from "../decisions/lookup/mod.ts";
 import { sendFailure } from "./failure_response.ts";
-import type { RequestPath } from "./request_path.ts";
+import type { RequestPipeline } from "./request_pipeline.ts";
 
 const ClientAddress = z.union([z.ipv4(), z.ipv6()]);
 
@@ -35,7 +35,7 @@
 
 /** Dependencies of {@link callerApp}. */
 export interface CallerAppDeps {
-  readonly path: RequestPath;
+  readonly path: RequestPipeline;
   /** Chooses instances for a client's address. */
   readonly lookup: (client: string) => LookupAnswer;
   readonly ready: () => boolean;
--- a/src/gateway/caller_app_test.ts
+++ b/src/gateway/caller_app_test.ts
@@ -1,12 +1,12 @@
 import test from "ava";
 import type { AddressInfo } from "node:net";
 import { callerApp } from "./caller_app.ts";
-import type { RequestPath } from "./request_path.ts";
+import type { RequestPipeline } from "./request_pipeline.ts";
 
 async function setup() {
   const lookedUp: string[] = [];
   const app = callerApp({
-    path: {} as RequestPath,
+    path: {} as RequestPipeline,
     ready: () => true,
     lookup: (client) => {
       lookedUp.push(client);
--- a/src/gateway/forward_app.ts
+++ b/src/gateway/forward_app.ts
@@ -39,14 +39,14 @@
 import { HEAD_BYTES, pace, PacedStream } from "./pacing.ts";
 import { sendFailure } from "./failure_response.ts";
 import { relay } from "./relay.ts";
-import { hasBody, workResult } from "./request_path.ts";
+import { hasBody, workResult } from "./request_pipeline.ts";
 
 /** Dependencies of {@link forwardApp}. */
 export interface ForwardAppDeps {
   readonly clock: Clock;
   readonly metrics: Metrics;
   readonly endpoints: EndpointClient;
-  readonly intake: ForwardedAdmission;
+  readonly admission: ForwardedAdmission;
   readonly links: LinkBudgets;
   readonly region: string;
   /** The peer with this identity; undefined before its first gossip. */
@@ -97,7 +97,7 @@
   const forwarded = parseForwarded(deps, req, res);
   if (forwarded.isErr()) return forwarded.map(() => undefined);
   const { steering, from, signal } = forwarded.value;
-  const slot = deps.intake.admit(steering, from, deps.clock.now());
+  const slot = deps.admission.admit(steering, from, deps.clock.now());
   if (slot.isErr()) return slot.map(() => undefined);
   const answer = await send(deps, forwarded.value, slot.value);
   if (answer.isErr()) return answer.map(() => undefined);
--- a/src/gateway/request_path.ts
+++ b/src/gateway/request_pipeline.ts
@@ -29,30 +29,30 @@
 import type { Operations } from "../operations/mod.ts";
 import { disconnectSignal } from "./disconnect_signal.ts";
 import { endpointHeaders, TIMEOUT_HEADER } from "./headers.ts";
-import type { KeyRing } from "./key_ring.ts";
+import type { ApiKeyTable } from "./api_key_table.ts";
 import { readOperation } from "./operation_request.ts";
 import { sendFailure } from "./failure_response.ts";
 import { relay } from "./relay.ts";
 import { routePolicyFor } from "./routes.ts";
 import type { SlotSender } from "./slot_sender.ts";
 
-/** Dependencies of {@link RequestPath}. */
-export interface RequestPathDeps {
+/** Dependencies of {@link RequestPipeline}. */
+export interface RequestPipelineDeps {
   readonly clock: Clock;
   readonly random: Random;
   readonly metrics: Metrics;
-  readonly keys: KeyRing;
+  readonly keys: ApiKeyTable;
   readonly limiter: RateLimiter;
   readonly dispatcher: Dispatcher;
   readonly operations: Operations;
   readonly sender: SlotSender;
   readonly retries: RetryPolicy;
   readonly document: () => SteeringDocument;
-  readonly outcomes: OutcomeLog;
+  readonly outcomes: OutcomeRecorder;
 }
 
 /** Records the result of each request of a known account to a known service. */
-export interface OutcomeLog {
+export interface OutcomeRecorder {
   record(
     request: { readonly service: ServiceId; readonly account: AccountId },
     end: {
@@ -76,11 +76,11 @@
 }
 
 /** Proxies callers' requests to endpoints. */
-export class RequestPath {
-  readonly #deps: RequestPathDeps;
+export class RequestPipeline {
+  readonly #deps: RequestPipelineDeps;
   #inFlight = 0;
 
-  constructor(deps: RequestPathDeps) {
+  constructor(deps: RequestPipelineDeps) {
     this.#deps = deps;
   }
 
--- a/src/gateway/request_path_test.ts
+++ b/src/gateway/request_pipeline_test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import { failure } from "../core/mod.ts";
-import { combineFailures } from "./request_path.ts";
+import { combineFailures } from "./request_pipeline.ts";
 
 const NOT_RUN = failure("endpoint_failed", "shed", { outcome: "not-run" });
 const UNKNOWN = failure("endpoint_failed", "broke", { outcome: "unknown" });
--- a/src/gateway/retry_rate_test.ts
+++ b/src/gateway/retry_rate_test.ts
@@ -15,8 +15,8 @@
 import { parseDocument, sha256 } from "../document/mod.ts";
 import type { EndpointClient } from "../endpoints/mod.ts";
 import type { Operations } from "../operations/mod.ts";
-import { KeyRing } from "./key_ring.ts";
-import { RequestPath } from "./request_path.ts";
+import { ApiKeyTable } from "./api_key_table.ts";
+import { RequestPipeline } from "./request_pipeline.ts";
 import { SlotSender } from "./slot_sender.ts";
 
 const KEY = "key-of-a1";
@@ -41,7 +41,7 @@
   const clock = new SystemClock();
   const random = new SeededRandom(1);
   const document = documentWithRoute();
-  const keys = new KeyRing();
+  const keys = new ApiKeyTable();
   keys.adopt(document);
   const endpoints = {
     send: () => {
@@ -51,7 +51,7 @@
       return Promise.resolve(tries === 1 ? err(first) : ok(answer));
     },
   } as unknown as EndpointClient;
-  const path = new RequestPath({
+  const path = new RequestPipeline({
     clock,
     random,
     metrics: new MemoryMetrics(),
@@ -92,7 +92,7 @@
   } as unknown as Slot;
 }
 
-async function sendOne(path: RequestPath): Promise<number> {
+async function sendOne(path: RequestPipeline): Promise<number> {
   const app = express();
   app.use((req, res) =>
     path.handle(req, res, { service: "web", path: req.url })
--- a/src/instance/document_in_force_test.ts
+++ b/src/instance/document_in_force_test.ts
@@ -18,7 +18,7 @@
   type SectionName,
   sha256,
 } from "../document/mod.ts";
-import { KeyRing } from "../gateway/mod.ts";
+import { ApiKeyTable } from "../gateway/mod.ts";
 import { BatchSchema, SenderSchema } from "../gen/peer_pb.ts";
 import type { DocumentTransport } from "../peers/mod.ts";
 import { MemoryPlatform, type Platform } from "../store/mod.ts";
@@ -214,8 +214,8 @@
 
 const KEY = "k-1";
 
-function createKeyRing(graceS: number, contact: PlatformContact): KeyRing {
-  const ring = new KeyRing(() => contact.ageMs());
+function createKeyRing(graceS: number, contact: PlatformContact): ApiKeyTable {
+  const ring = new ApiKeyTable(() => contact.ageMs());
   const keys = [{ id: "k1", sha256: sha256(KEY), withdrawn: false }];
   const accounts = { a1: { keys, weight: 1, cut_off_grace_s: graceS } };
   ring.adopt({ accounts } as unknown as AcceptedDocument["document"]);
--- a/src/instance/instance.ts
+++ b/src/instance/instance.ts
@@ -23,11 +23,11 @@
 } from "../document/mod.ts";
 import type { EndpointClient } from "../endpoints/mod.ts";
 import {
+  ApiKeyTable,
   callerApp,
   forwardApp,
-  KeyRing,
   OperationDispatch,
-  RequestPath,
+  RequestPipeline,
   SlotSender,
 } from "../gateway/mod.ts";
 import type { Sender } from "../gen/peer_pb.ts";
@@ -107,7 +107,7 @@
   readonly #deps: InstanceDeps;
   readonly #listeners: InstanceListeners;
   readonly #incarnation: string;
-  readonly #keyRing: KeyRing;
+  readonly #keyRing: ApiKeyTable;
   readonly #platformContact: PlatformContact;
   readonly #budgets: FleetBudgets;
   readonly #steering: Steering;
@@ -116,7 +116,7 @@
   readonly #peerExchange: PeerExchange;
   readonly #operations: HomeOperations;
   readonly #burnPublisher: BurnPublisher;
-  readonly #requestPath: RequestPath;
+  readonly #requestPath: RequestPipeline;
   readonly #follower: DocumentFollower;
   readonly #tickLoop: TickLoop;
   /** Components that hand over their state at shutdown, in this order. */
@@ -134,7 +134,7 @@
     this.#listeners = deps.listeners ?? new SocketListeners(deps);
     this.#incarnation = random.hex(INCARNATION_BYTES);
     this.#platformContact = new PlatformContact(clock);
-    this.#keyRing = new KeyRing(() => this.#platformContact.ageMs());
+    this.#keyRing = new ApiKeyTable(() => this.#platformContact.ageMs());
     this.#roster = new Roster(clock, cfg.instance.id);
     this.#seats = createSeats(deps.parts, {
       ...deps,
@@ -202,7 +202,7 @@
         this.#roster.live().filter((m) => m.zone === cfg.instance.zone),
     });
     this.#peerExchange.register(this.#burnPublisher);
-    this.#requestPath = new RequestPath({
+    this.#requestPath = new RequestPipeline({
       ...deps,
       outcomes: outcomeLog({
         ...deps,
@@ -481,7 +481,7 @@
     const { forwardedAdmission, links, loadExchange } = this.#steering;
     return forwardApp({
       ...this.#deps,
-      intake: forwardedAdmission,
+      admission: forwardedAdmission,
       links,
       region: this.#deps.cfg.instance.region,
       peerOf: (identity) => loadExchange.findPeer(identity),
--- a/src/instance/outcome_log.ts
+++ b/src/instance/outcome_log.ts
@@ -6,7 +6,7 @@
  */
 import type { Clock } from "../core/mod.ts";
 import type { SteeringDocument } from "../document/mod.ts";
-import type { OutcomeLog } from "../gateway/mod.ts";
+import type { OutcomeRecorder } from "../gateway/mod.ts";
 import type { BurnCounts } from "../slo/mod.ts";
 
 /** Creates the outcome log of the request path. */
@@ -16,7 +16,7 @@
     counts: BurnCounts;
     document: () => SteeringDocument;
   },
-): OutcomeLog {
+): OutcomeRecorder {
   return {
     record: ({ service, account }, end) => {
       const latencyMs = document().services[service]?.objective.latency_ms;
--- a/src/instance/steering.ts
+++ b/src/instance/steering.ts
@@ -217,7 +217,7 @@
           url: entry.url,
           connectionFree: inFlight < connectionShare(entry, slotLimit),
         })),
-      zoneMates: () =>
+      zonePeers: () =>
         roster.live().filter((m) => m.zone === zone).map((m) => m.instance),
       onHint: (endpoint, hint) => this.local.recordHint(endpoint, hint),
     });
--- a/tools/process_soak/faults.ts
+++ b/tools/process_soak/faults.ts
@@ -6,7 +6,7 @@
  */
 import { KINDS } from "../../platform/names.ts";
 import type { StoreFaults } from "../../platform/testing/object_store_server.ts";
-import type { EndpointFaults } from "../../platform/testing/endpoint_stand_in.ts";
+import type { EndpointFaults } from "../../platform/testing/fake_endpoint.ts";
 import type { SoakEndpoint, StruckWorld } from "./struck_world.ts";
 import type { LinkMode } from "./tcp_proxy.ts";
 
--- a/tools/process_soak/process_soak.ts
+++ b/tools/process_soak/process_soak.ts
@@ -10,7 +10,7 @@
 import { join } from "node:path";
 import { setTimeout as sleep } from "node:timers/promises";
 import { KINDS } from "../../platform/names.ts";
-import { EndpointStandIn } from "../../platform/testing/endpoint_stand_in.ts";
+import { FakeEndpoint } from "../../platform/testing/fake_endpoint.ts";
 import { ObjectStoreServer } from "../../platform/testing/object_store_server.ts";
 import { endpointEntry } from "../../platform/testing/plan_objects.ts";
 import { SeededRandom } from "../../src/core/mod.ts";
@@ -112,7 +112,7 @@
   async addEndpoint(service: string, port = 0): Promise<SoakEndpoint> {
     const zone = this.pick(Object.keys(ZONES)) ?? "a1";
     const id = `e${++this.#endpointNumber}`;
-    const stand = await EndpointStandIn.listen({
+    const stand = await FakeEndpoint.listen({
       id,
       service,
       zone,
--- a/tools/process_soak/promises.ts
+++ b/tools/process_soak/promises.ts
@@ -3,11 +3,11 @@
  *
  * @module
  */
-import type { EndpointRun } from "../../platform/testing/endpoint_stand_in.ts";
+import type { EndpointRun } from "../../platform/testing/fake_endpoint.ts";
 import type {
   CallerAttempt,
   CallerResult,
-} from "../../platform/testing/stand_in_caller.ts";
+} from "../../platform/testing/fake_caller.ts";
 
 /** A promise that was not kept. */
 export interface Violation {
--- a/tools/process_soak/soak_callers.ts
+++ b/tools/process_soak/soak_callers.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { setTimeout as sleep } from "node:timers/promises";
-import { StandInCaller } from "../../platform/testing/stand_in_caller.ts";
+import { FakeCaller } from "../../platform/testing/fake_caller.ts";
 import type { Random } from "../../src/core/mod.ts";
 import type { InstanceProcess } from "./instance_process.ts";
 import type { Promises, SentAttempt } from "./promises.ts";
@@ -73,7 +73,7 @@
     const { promises, random } = this.#opts;
     let instance = this.#anyInstance();
     let { life } = instance;
-    let caller = new StandInCaller(instance.callerAddress);
+    let caller = new FakeCaller(instance.callerAddress);
     while (!this.#ended) {
       const attempt = this.#attempt(number, instance);
       promises.sent(attempt);
@@ -89,7 +89,7 @@
         await caller.close();
         instance = this.#anyInstance();
         ({ life } = instance);
-        caller = new StandInCaller(instance.callerAddress);
+        caller = new FakeCaller(instance.callerAddress);
       }
       await sleep(BETWEEN_REQUESTS_MS);
     }
--- a/tools/process_soak/struck_world.ts
+++ b/tools/process_soak/struck_world.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { EndpointStandIn } from "../../platform/testing/endpoint_stand_in.ts";
+import type { FakeEndpoint } from "../../platform/testing/fake_endpoint.ts";
 import type { ObjectStoreServer } from "../../platform/testing/object_store_server.ts";
 import type { Random } from "../../src/core/mod.ts";
 import type { InstanceProcess } from "./instance_process.ts";
@@ -13,7 +13,7 @@
 
 /** An endpoint with the link before it. */
 export interface SoakEndpoint {
-  readonly stand: EndpointStandIn;
+  readonly stand: FakeEndpoint;
   readonly proxy: TcpProxy;
   disturbedAt: number;
   draining: boolean;
--- a/tools/standins/stand_in_world.ts
+++ b/tools/standins/stand_in_world.ts
@@ -8,13 +8,13 @@
 import { join } from "node:path";
 import { setTimeout as sleep } from "node:timers/promises";
 import process from "node:process";
-import { EndpointStandIn } from "../../platform/testing/endpoint_stand_in.ts";
+import { FakeEndpoint } from "../../platform/testing/fake_endpoint.ts";
 import { ObjectStoreServer } from "../../platform/testing/object_store_server.ts";
 import {
   endpointEntry,
   planSpec,
 } from "../../platform/testing/plan_objects.ts";
-import { StandInCaller } from "../../platform/testing/stand_in_caller.ts";
+import { FakeCaller } from "../../platform/testing/fake_caller.ts";
 import { InstanceProcess } from "../process_soak/instance_process.ts";
 
 /** An address of loopback that no other process takes for its world. */
@@ -39,13 +39,13 @@
 /** A store, endpoints and callers in this process; instances are others. */
 export class StandInWorld {
   readonly #store: ObjectStoreServer;
-  readonly #endpoints: readonly EndpointStandIn[];
+  readonly #endpoints: readonly FakeEndpoint[];
   readonly #dir: string;
   #sent = 0;
 
   private constructor(
     store: ObjectStoreServer,
-    endpoints: readonly EndpointStandIn[],
+    endpoints: readonly FakeEndpoint[],
     dir: string,
   ) {
     this.#store = store;
@@ -55,10 +55,10 @@
 
   static async open(): Promise<StandInWorld> {
     const store = await ObjectStoreServer.listen(LIST_PAGE);
-    const endpoints: EndpointStandIn[] = [];
+    const endpoints: FakeEndpoint[] = [];
     for (let i = 0; i < ENDPOINTS; i++) {
       const id = `e-${i}`;
-      const endpoint = await EndpointStandIn.listen({
+      const endpoint = await FakeEndpoint.listen({
         id,
         service: "web",
         zone: ZONE,
@@ -112,7 +112,7 @@
   ): Promise<number> {
     const callers = Array.from(
       { length: CALLERS },
-      () => new StandInCaller(instance.callerAddress),
+      () => new FakeCaller(instance.callerAddress),
     );
     const until = performance.now() + forMs;
     const gapMs = perS === 0 ? forMs : MS_PER_S / perS;
@@ -130,9 +130,9 @@
     return results.filter((answered) => answered).length;
   }
 
-  async #send(callers: readonly StandInCaller[]): Promise<boolean> {
+  async #send(callers: readonly FakeCaller[]): Promise<boolean> {
     const n = this.#sent++;
-    const caller = callers[n % callers.length] as StandInCaller;
+    const caller = callers[n % callers.length] as FakeCaller;
     const result = await caller.send({
       request: `r${n}`,
       host: CALLER_HOST,
