--- a/src/fleet/fleet_member_test.ts
+++ b/src/fleet/fleet_member_test.ts
@@ -173,7 +173,7 @@
   fleet.advance(1_500);
   const watchers = () => weaker.filter((m) => m.roles.isStoreWatcher).length;
   t.true(watchers() >= 2);
-  // A third may have taken over before it received that the second did.
+  // A third may have taken over before it learned that the second did.
   fleet.advance(4_000);
   t.is(watchers(), 2);
 });
--- a/src/fleet/testing/member_fleet.ts
+++ b/src/fleet/testing/member_fleet.ts
@@ -208,8 +208,8 @@
   }
 
   /** Usage and requests in flight of a member; adds their names for all. */
-  #usage({ uses: set, inFlight, limits, consumer: takes }: TestMember) {
-    const uses = takes?.report(this.clock.now()) ?? set;
+  #usage({ uses: set, inFlight, limits, consumer }: TestMember) {
+    const uses = consumer?.report(this.clock.now()) ?? set;
     for (
       const name of [
         ...uses.keys(),
--- a/src/fleet/zone_roles.ts
+++ b/src/fleet/zone_roles.ts
@@ -24,7 +24,7 @@
 const MAX_UNANSWERED_WATCHERS = 4;
 /**
  * Delay per rank before an instance becomes a watcher: somewhat more than a
- * gossip period, to receive whether the one ranked before it did.
+ * gossip period, to learn whether the one ranked before it did.
  */
 const WATCH_TAKEOVER_STEP_MS = 300;
 /** The same where digests pass through a relay. */
