--- a/src/edge/access_log.ts
+++ b/src/edge/access_log.ts
@@ -15,7 +15,7 @@
 import type { EndpointRow } from "../traffic/mod.ts";
 import type { CallerRequest, RequestContext } from "./request_context.ts";
 
-/** Writes the ends of requests at one instance. */
+/** Logs and counts completed requests of one instance. */
 export class AccessLog {
   readonly #clock: Clock;
   readonly #log: Log;
@@ -25,7 +25,7 @@
 
   /**
    * @param opts `planVersion` is that of the plan in force; 0 before any.
-   * `limitOf` gives the requests a second that an endpoint takes, if limited.
+   * `limitOf` returns an endpoint's limit in requests a second, if it has one.
    */
   constructor(
     opts: {
@@ -44,7 +44,7 @@
     this.#metrics = metrics;
   }
 
-  /** An endpoint's answer goes to the caller. */
+  /** Records an endpoint's response that is passed on to the caller. */
   answered(ctx: RequestContext, endpoint: EndpointRow, status: number): void {
     const tookMs = this.#clock.now() - ctx.req.arrivedAt;
     const { service } = ctx;
@@ -53,14 +53,14 @@
     this.#metrics.timing("request.duration", tookMs, { service });
     if (status < 500 && !isSampled(ctx.req.fields.requestId)) return;
     this.#log.event("request_answered", {
-      ...this.#about(ctx),
+      ...this.#requestFields(ctx),
       endpoint: endpoint.id,
       status,
       tookMs: Math.round(tookMs),
     });
   }
 
-  /** A request is refused or failed; without a context it was not admitted. */
+  /** Records a refusal or failure; without a context, one before admission. */
   refused(req: CallerRequest, why: Failure, ctx?: RequestContext): void {
     const tookMs = this.#clock.now() - req.arrivedAt;
     const service = ctx?.service ?? "none";
@@ -69,7 +69,7 @@
     this.#log.event("request_refused", {
       ...(ctx === undefined
         ? { request: req.fields.requestId, plan: this.#planVersion() }
-        : this.#about(ctx)),
+        : this.#requestFields(ctx)),
       code: why.code,
       outcome: why.outcome,
       reason: why.message,
@@ -80,20 +80,20 @@
     });
   }
 
-  /** The caller left before its answer. */
+  /** Records that the caller disconnected before the response. */
   gone(ctx: RequestContext): void {
     const { service } = ctx;
     this.#metrics.count("requests", { service, result: "caller_gone" });
   }
 
-  /** A try at an endpoint has ended. */
+  /** Records a completed attempt at an endpoint. */
   tried(endpoint: EndpointRow, tookMs: number): void {
     const { service } = endpoint.record;
     this.#metrics.timing("endpoint.duration", tookMs, { service });
   }
 
-  /** Fields of a request, its route and its attempts. */
-  #about(ctx: RequestContext): LogFields {
+  /** Log fields of a request, its route and its attempts. */
+  #requestFields(ctx: RequestContext): LogFields {
     const { req, route, account, service, planVersion, tried } = ctx;
     return {
       request: req.fields.requestId,
@@ -102,21 +102,23 @@
       service,
       plan: planVersion,
       tries: tried.size,
-      tried: [...tried].map((row) => this.#asSeen(row)).join(" "),
+      tried: [...tried].map((row) => this.#describeEndpoint(row)).join(
+        " ",
+      ),
       chosenBy: ctx.chosenBy,
       leftMs: Math.round(ctx.deadline - this.#clock.now()),
     };
   }
 
-  /** An endpoint with what it holds and how old its load report is. */
-  #asSeen(row: EndpointRow): string {
+  /** An endpoint with its load, its limit and the age of its load report. */
+  #describeEndpoint(row: EndpointRow): string {
     const { id, inFlight, peersInFlight, reportedAt } = row;
-    const seen = [`${inFlight}+${peersInFlight}/${row.record.slots}`];
+    const parts = [`${inFlight}+${peersInFlight}/${row.record.slots}`];
     if (row.report !== undefined) {
-      seen.push(`${Math.round(this.#clock.now() - reportedAt)}ms`);
+      parts.push(`${Math.round(this.#clock.now() - reportedAt)}ms`);
     }
     const limitPerS = this.#limitOf(id);
-    if (limitPerS !== undefined) seen.push(`${limitPerS}/s`);
-    return `${id}(${seen.join(",")})`;
+    if (limitPerS !== undefined) parts.push(`${limitPerS}/s`);
+    return `${id}(${parts.join(",")})`;
   }
 }
--- a/src/edge/admission.ts
+++ b/src/edge/admission.ts
@@ -8,26 +8,26 @@
 import { WeightedRoundRobin } from "../decisions/placement/mod.ts";
 import type { AccountQuotas } from "../decisions/quotas/mod.ts";
 import type { Account, Route, RouteTable } from "../traffic/mod.ts";
-import { homeRegions } from "./home_regions.ts";
+import { allowedRegions } from "./allowed_regions.ts";
 import type { TrafficState } from "./traffic_state.ts";
 import type { CallerRequest, RequestContext } from "./request_context.ts";
 
 /** Client timeout assumed when a request carries none, in milliseconds. */
 const DEFAULT_CLIENT_TIMEOUT_MS = 30_000;
 /**
- * How long before the caller's deadline this instance answers, in milliseconds:
- * about the way back to the caller. Later, the answer meets a caller that left.
+ * How long before the client timeout this instance responds, in milliseconds:
+ * about the network delay to the caller, which would otherwise have given up.
  */
 const ANSWER_MARGIN_MS = 15;
-/** When to come back to an instance that has no plan yet, in milliseconds. */
+/** Retry delay while an instance has no plan yet, in milliseconds. */
 const START_RETRY_MS = 500;
 
-/** Admits requests at one instance. */
+/** Admits the requests of one instance. */
 export class Admission {
   readonly #state: TrafficState;
   readonly #quotas: AccountQuotas;
   readonly #clock: Clock;
-  readonly #weights = new WeightedRoundRobin();
+  readonly #roundRobin = new WeightedRoundRobin();
 
   constructor(state: TrafficState, quotas: AccountQuotas, clock: Clock) {
     this.#state = state;
@@ -36,29 +36,29 @@
   }
 
   /**
-   * Lets a request in and spends one of its account's rate.
+   * Admits a request and counts it against its account's rate.
    *
    * Failures: `not_ready`, `not_found`, `unauthenticated`, `rate_exceeded`,
    * `no_endpoint`.
    */
   admit(req: CallerRequest): Result<RequestContext, Failure> {
-    const { table } = this.#state;
-    if (table === undefined) {
+    const { routeTable } = this.#state;
+    if (routeTable === undefined) {
       return fail("not_ready", "this instance has no plan yet", {
         outcome: "not-run",
         retryAfterMs: START_RETRY_MS,
       });
     }
     const { fields } = req;
-    const route = table.route(fields.host, fields.path);
+    const route = routeTable.route(fields.host, fields.path);
     if (route === undefined) return fail("not_found", "no such route");
-    const account = accountOf(table, route, fields.key);
+    const account = accountOf(routeTable, route, fields.key);
     if (account === "unknown") {
-      return fail("unauthenticated", "the key is not known");
+      return fail("unauthenticated", "the API key is unknown");
     }
-    const limited = this.#spend(account);
+    const limited = this.#takeQuota(account);
     if (limited !== undefined) return err(limited);
-    const service = this.#weights.next(route);
+    const service = this.#roundRobin.next(route);
     if (service === undefined) {
       return fail("no_endpoint", "the route has no service", {
         outcome: "not-run",
@@ -69,24 +69,24 @@
       route,
       account,
       service,
-      regions: homeRegions(route, account),
+      regions: allowedRegions(route, account),
       deadline: deadlineOf(req, route),
-      planVersion: table.plan.version,
+      planVersion: routeTable.plan.version,
       tried: new Set(),
       chosenBy: "",
       mayHaveRun: false,
     });
   }
 
-  #spend(account: Account | undefined): Failure | undefined {
+  #takeQuota(account: Account | undefined): Failure | undefined {
     if (account === undefined) return undefined;
-    const spent = this.#quotas.take(account, this.#clock.now());
-    if (spent.admitted) return undefined;
-    const share = Math.round(spent.share * 100);
+    const decision = this.#quotas.take(account, this.#clock.now());
+    if (decision.admitted) return undefined;
+    const share = Math.round(decision.share * 100);
     return failure(
       "rate_exceeded",
-      `account ${account.id} is over its rate, of which ${share}% are here`,
-      { outcome: "not-run", retryAfterMs: spent.retryAfterMs },
+      `account ${account.id} is over its rate; this instance admits ${share}% of it`,
+      { outcome: "not-run", retryAfterMs: decision.retryAfterMs },
     );
   }
 }
@@ -100,7 +100,7 @@
   return (key === undefined ? undefined : table.account(key)) ?? "unknown";
 }
 
-/** How long a request's caller waits from its arrival on, in milliseconds. */
+/** The client timeout from the request's arrival, in milliseconds. */
 export function clientTimeoutOf({ fields }: CallerRequest): number {
   return fields.clientTimeoutMs ?? DEFAULT_CLIENT_TIMEOUT_MS;
 }
--- a/src/edge/home_regions.ts
+++ b/src/edge/allowed_regions.ts
@@ -1,5 +1,5 @@
 /**
- * In which regions a request may be served.
+ * The regions in which a request may be served.
  *
  * @module
  */
@@ -7,11 +7,11 @@
 import type { Account, Route } from "../traffic/mod.ts";
 
 /**
- * The regions that both the route and the account allow; undefined where
- * neither says anything. Empty where they allow nothing in common: then the
- * request cannot be served anywhere.
+ * The regions that both the route and the account allow; undefined if neither
+ * restricts them. Empty if they have none in common: the request then cannot be
+ * served.
  */
-export function homeRegions(
+export function allowedRegions(
   route: Route,
   account: Account | undefined,
 ): ReadonlySet<RegionId> | undefined {
--- a/src/edge/caller_server.ts
+++ b/src/edge/caller_server.ts
@@ -1,9 +1,8 @@
 /**
- * The listener for callers.
+ * The HTTP listener for callers.
  *
- * It stands on Node.js's own server and not on a router: the path of each
- * request is looked up in the plan, so a router would only add its own work to
- * every request.
+ * It uses the Node.js server without a router: each request's path is looked up
+ * in the plan, so a router would only add work to every request.
  *
  * @module
  */
@@ -16,17 +15,17 @@
 } from "node:http";
 import type { Clock, Failure, Log } from "../core/mod.ts";
 import { CancelSource, failure } from "../core/mod.ts";
-import type { AnswerSink } from "./endpoint_sender.ts";
+import type { BodySink } from "./endpoint_sender.ts";
 import { headerOf } from "./header_fields.ts";
 import { closeAtOnce, listenAt } from "./listening.ts";
 import type { RequestCodec } from "./request_codec.ts";
-import type { FlowAnswer } from "./request_flow.ts";
+import type { FlowResult } from "./request_flow.ts";
 import type { CallerRequest } from "./request_context.ts";
 
 /** Serves one request. */
-export type RequestHandler = (req: CallerRequest) => Promise<FlowAnswer>;
+export type RequestHandler = (req: CallerRequest) => Promise<FlowResult>;
 
-/** What the server works with. */
+/** Dependencies of the server. */
 export interface CallerServerOptions {
   /** Host and port. */
   readonly address: string;
@@ -36,116 +35,117 @@
   readonly log: Log;
 }
 
-/** Header fields larger than this are refused with 431, in bytes. */
-const HEADER_BYTES = 65_536;
-/** How long a caller may take over its header fields, in milliseconds. */
-const HEADER_MS = 10_000;
-/** Until a plan says how long connections may rest, in milliseconds. */
-const FIRST_IDLE_MS = 15_000;
-/** Until a plan says how large a body may be, in bytes. */
-const FIRST_BODY_BYTES = 1_048_576;
-/** Connections waiting to be accepted: a burst of new callers at once. */
+/** Maximum size of header fields in bytes; larger ones are refused with 431. */
+const MAX_HEADER_BYTES = 65_536;
+/** Time in which a caller must send its header fields, in milliseconds. */
+const HEADER_TIMEOUT_MS = 10_000;
+/** Idle timeout of connections until a plan sets one, in milliseconds. */
+const DEFAULT_IDLE_TIMEOUT_MS = 15_000;
+/** Maximum body size until a plan sets one, in bytes. */
+const DEFAULT_MAX_BODY_BYTES = 1_048_576;
+/** Connections that may wait to be accepted in a burst of new callers. */
 const BACKLOG = 1_024;
 
-/** Takes callers' connections. */
+/** Accepts callers' connections and serves their requests. */
 export class CallerServer {
   readonly #opts: CallerServerOptions;
   readonly #server: Server;
-  #bodyBytes = FIRST_BODY_BYTES;
-  #leaving = false;
-  /** Requests that are not answered yet. */
-  #open = 0;
+  #maxBodyBytes = DEFAULT_MAX_BODY_BYTES;
+  #draining = false;
+  #openRequests = 0;
   #onIdle: (() => void) | undefined;
 
   private constructor(opts: CallerServerOptions) {
     this.#opts = opts;
     this.#server = createServer({
-      maxHeaderSize: HEADER_BYTES,
-      headersTimeout: HEADER_MS,
-      keepAliveTimeout: FIRST_IDLE_MS,
+      maxHeaderSize: MAX_HEADER_BYTES,
+      headersTimeout: HEADER_TIMEOUT_MS,
+      keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS,
       requestTimeout: 0,
       noDelay: true,
     }, (req, res) => void this.#serve(req, res));
   }
 
-  /** Listens; gives the server once connections are taken. */
+  /** Starts a server; resolves once it accepts connections. */
   static async listen(opts: CallerServerOptions): Promise<CallerServer> {
     const server = new CallerServer(opts);
     await listenAt(server.#server, opts.address, BACKLOG);
     return server;
   }
 
-  /** Sets how long connections may rest, in ms, and how large bodies may be. */
-  limit(limits: { readonly idleMs: number; readonly bodyBytes: number }): void {
+  /** Sets the idle timeout in milliseconds and the maximum body size. */
+  applyLimits(
+    limits: { readonly idleMs: number; readonly bodyBytes: number },
+  ): void {
     this.#server.keepAliveTimeout = limits.idleMs;
-    this.#bodyBytes = limits.bodyBytes;
+    this.#maxBodyBytes = limits.bodyBytes;
   }
 
-  /** From now on each answer asks the caller to leave its connection. */
-  leave(): void {
-    this.#leaving = true;
+  /** Sends `Connection: close` with every response from now on. */
+  startDraining(): void {
+    this.#draining = true;
   }
 
-  /** Takes no new connections and closes those that rest. */
+  /** Accepts no new connections and closes idle ones. */
   stopListening(): void {
     this.#server.close();
     this.#server.closeIdleConnections();
   }
 
   /** Resolves once no request is open. */
-  idle(): Promise<void> {
-    if (this.#open === 0) return Promise.resolve();
+  whenIdle(): Promise<void> {
+    if (this.#openRequests === 0) return Promise.resolve();
     return new Promise((resolve) => this.#onIdle = resolve);
   }
 
-  /** Closes everything at once. */
+  /** Closes the listener and all connections immediately. */
   close(): Promise<void> {
     return closeAtOnce(this.#server);
   }
 
   async #serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    this.#open++;
+    this.#openRequests++;
     res.sendDate = false;
     try {
-      await this.#answer(req, res);
+      await this.#respond(req, res);
     } catch (cause) {
       this.#opts.log.event("request_handler_failed", { cause: String(cause) });
       res.destroy();
     } finally {
-      this.#open--;
-      if (this.#open === 0) this.#onIdle?.();
+      this.#openRequests--;
+      if (this.#openRequests === 0) this.#onIdle?.();
     }
   }
 
-  async #answer(req: IncomingMessage, res: ServerResponse): Promise<void> {
+  async #respond(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const { codec, clock, handle } = this.#opts;
     const arrivedAt = clock.now();
     const fields = codec.readCaller(req.url ?? "/", req.rawHeaders);
-    const body = await readBody(req, this.#bodyBytes);
+    const body = await readBody(req, this.#maxBodyBytes);
     if (body === "gone") return;
     if (body === "too_large") {
       const large = failure("bad_request", "the body is too large");
       return this.#refuse(res, large, fields.requestId, 413);
     }
-    const gone = new CancelSource();
+    const disconnected = new CancelSource();
     res.once("close", () => {
-      if (!res.writableFinished) gone.abort();
+      if (!res.writableFinished) disconnected.abort();
     });
-    const answer = await handle({
+    const result = await handle({
       method: req.method ?? "GET",
       headers: req.rawHeaders,
       fields,
       body,
       arrivedAt,
-      signal: gone,
+      signal: disconnected,
     });
-    switch (answer.kind) {
+    switch (result.kind) {
       case "gone":
         return void res.destroy();
       case "refusal":
-        return this.#refuse(res, answer.failure, fields.requestId);
+        return this.#refuse(res, result.failure, fields.requestId);
       case "answer":
-        return await this.#relay(res, answer);
+        return await this.#relay(res, result);
     }
   }
 
@@ -155,45 +155,45 @@
     requestId: string,
     status?: number,
   ): void {
-    const own = this.#opts.codec.refusal(why, requestId);
-    const length = ["Content-Length", String(Buffer.byteLength(own.body))];
-    const headers = [...own.headers, ...length, ...this.#closing()];
-    res.writeHead(status ?? own.status, headers);
-    res.end(own.body);
+    const reply = this.#opts.codec.refusal(why, requestId);
+    const length = ["Content-Length", String(Buffer.byteLength(reply.body))];
+    const headers = [...reply.headers, ...length, ...this.#connectionHeaders()];
+    res.writeHead(status ?? reply.status, headers);
+    res.end(reply.body);
   }
 
   async #relay(
     res: ServerResponse,
-    answer: Extract<FlowAnswer, { kind: "answer" }>,
+    response: Extract<FlowResult, { kind: "answer" }>,
   ): Promise<void> {
-    const { bytes, rest } = answer.body;
-    const headers = this.#opts.codec.callerHeaders(answer.headers);
-    res.writeHead(answer.status, [...headers, ...this.#closing()]);
-    if (rest === undefined) {
+    const { bytes, remainder } = response.body;
+    const headers = this.#opts.codec.callerHeaders(response.headers);
+    res.writeHead(response.status, [...headers, ...this.#connectionHeaders()]);
+    if (remainder === undefined) {
       res.end(bytes);
       return;
     }
     res.write(bytes);
     await new Promise<void>((resolve) => {
-      res.on("drain", () => rest.resume());
+      res.on("drain", () => remainder.resume());
       res.once("close", () => {
-        if (!res.writableFinished) rest.cancel();
+        if (!res.writableFinished) remainder.cancel();
         resolve();
       });
-      rest.pipe(sinkOf(res));
+      remainder.pipe(bodySinkOf(res));
     });
   }
 
-  #closing(): string[] {
-    return this.#leaving ? ["Connection", "close"] : [];
+  #connectionHeaders(): string[] {
+    return this.#draining ? ["Connection", "close"] : [];
   }
 }
 
-function sinkOf(res: ServerResponse): AnswerSink {
+function bodySinkOf(res: ServerResponse): BodySink {
   return {
     data: (chunk) => res.write(chunk),
     end: () => void res.end(),
-    // The caller must not take what it has for the whole.
+    // The caller must not mistake a partial response for a complete one.
     fail: () => void res.destroy(),
   };
 }
@@ -201,18 +201,18 @@
 /** Reads a body to its end. */
 function readBody(
   req: IncomingMessage,
-  mostBytes: number,
+  maxBytes: number,
 ): Promise<Buffer | undefined | "gone" | "too_large"> {
-  const announced = headerOf(req.rawHeaders, "content-length");
+  const declared = headerOf(req.rawHeaders, "content-length");
   const chunked = headerOf(req.rawHeaders, "transfer-encoding") !== undefined;
-  if (announced === undefined && !chunked) return Promise.resolve(undefined);
-  if (Number(announced) > mostBytes) return Promise.resolve("too_large");
+  if (declared === undefined && !chunked) return Promise.resolve(undefined);
+  if (Number(declared) > maxBytes) return Promise.resolve("too_large");
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let size = 0;
     req.on("data", (chunk: Buffer) => {
       size += chunk.length;
-      if (size > mostBytes) resolve("too_large");
+      if (size > maxBytes) resolve("too_large");
       else chunks.push(chunk);
     });
     req.on("end", () => resolve(Buffer.concat(chunks)));
--- a/src/edge/connection_end.ts
+++ b/src/edge/connection_end.ts
@@ -1,49 +1,51 @@
 /**
- * Detects how a connection ended: in order, or by a reset that shows late.
+ * Distinguishes an orderly close of a connection from a reset.
  *
- * An answer without a length ends with its connection. If the endpoint breaks
- * off, the end may be read like an orderly one, and the reset shows only on the
- * next write; half an answer would pass for a whole one.
+ * A close-delimited response ends with its connection. If the endpoint fails
+ * midway, the end may look orderly and the reset may show only on the next
+ * write; a truncated response would pass as complete.
  *
  * @module
  */
 import type { Socket } from "node:net";
 import type { Clock } from "../core/mod.ts";
 
-/** What the socket of a connection has shown. */
-export interface ObservedConnection {
-  /** It was established. */
-  opened: boolean;
-  /** The other side has closed it in order. */
-  ended: boolean;
-  /** It broke. */
+/** Connection state from socket events. */
+export interface ConnectionState {
+  connected: boolean;
+  /** The remote side closed it in order. */
+  remoteEnded: boolean;
+  /** The socket reported an error. */
   broken: boolean;
 }
 
 /**
- * How long after the other side's end a reset may still show, in milliseconds:
- * both set out together and take the same way.
+ * How long after the remote end a reset may still arrive, in milliseconds: both
+ * are sent together over the same path.
  */
-const LINGER_MS = 20;
-/** An empty line, which a server passes over. */
+const RESET_WAIT_MS = 20;
+/** An empty line, which an HTTP server ignores. */
 const EMPTY_LINE = "\r\n";
 
-/** Follows a socket; call it before anything else listens to it. */
-export function observe(socket: Socket, connection: ObservedConnection): void {
-  socket.on("connect", () => connection.opened = true);
-  socket.on("end", () => connection.ended = true);
+/** Tracks a socket; must be its first listener. */
+export function trackConnection(
+  socket: Socket,
+  connection: ConnectionState,
+): void {
+  socket.on("connect", () => connection.connected = true);
+  socket.on("end", () => connection.remoteEnded = true);
   socket.on("error", () => connection.broken = true);
 }
 
 /**
- * Holds back the end of a connection until a reset would have shown. Call it
- * where an answer has begun that ends with the connection.
+ * Delays the `end` event of a connection until a reset would have arrived. Call
+ * it when a close-delimited response begins.
  */
-export function holdEnd(socket: Socket, clock: Clock): void {
+export function delayEnd(socket: Socket, clock: Clock): void {
   const emit = socket.emit.bind(socket) as (...args: unknown[]) => boolean;
   socket.emit = (event: string | symbol, ...args: unknown[]): boolean => {
     if (event !== "end") return emit(event, ...args);
-    clock.after(LINGER_MS, () => {
+    clock.after(RESET_WAIT_MS, () => {
       if (socket.destroyed) return;
       // A write after a reset fails, which destroys the socket with an error.
       socket.write(EMPTY_LINE, (error) => {
--- a/src/edge/edge_instance.ts
+++ b/src/edge/edge_instance.ts
@@ -1,6 +1,5 @@
 /**
- * One entry instance in the composition for a platform on which endpoints
- * register themselves: the parts put together, and their start and stop.
+ * One entry instance: wires its components together, starts and stops them.
  *
  * @module
  */
@@ -42,14 +41,14 @@
 import { AccessLog } from "./access_log.ts";
 import { PeerLoad } from "./peer_load.ts";
 import {
-  answerSnapshot,
   PeerSnapshots,
+  serveSnapshot,
   snapshotAddress,
 } from "./peer_snapshots.ts";
 import { PlainServer } from "./plain_server.ts";
 import type { RequestCodec } from "./request_codec.ts";
 import { RequestFlow } from "./request_flow.ts";
-import { KINDS, SteeringWatchers } from "./steering_watchers.ts";
+import { RESOURCE_KINDS, SteeringWatchers } from "./steering_watchers.ts";
 import {
   EndpointHandler,
   EvacuationHandler,
@@ -59,7 +58,7 @@
 import { stopPlan } from "./stop_plan.ts";
 import { TrafficState } from "./traffic_state.ts";
 
-/** What an instance is made of. */
+/** Dependencies of an instance. */
 export interface EdgeOptions {
   readonly cfg: EdgeSettings;
   readonly codec: RequestCodec;
@@ -72,16 +71,15 @@
   readonly placement?: Placement;
 }
 
-/** Until the list is read, each zone is taken to have this many instances. */
-const ASSUMED_PER_ZONE = 2;
+/** Instances assumed per zone until the instance list is read. */
+const ASSUMED_INSTANCES_PER_ZONE = 2;
 
 /**
- * How long an instance waits at the fleet's first start for others to read the
- * store for it, in milliseconds. Callers come much later.
+ * How long an instance that does not watch the store waits for snapshots from
+ * peers at the fleet's first start, in milliseconds. Callers connect much later.
  */
-const FIRST_START_MS = 4_000;
+const FIRST_START_WAIT_MS = 4_000;
 
-/** A running instance. */
 export class EdgeInstance {
   readonly #opts: EdgeOptions;
   readonly #profile: InstanceProfile;
@@ -96,9 +94,9 @@
   readonly #watchers: SteeringWatchers;
   readonly #snapshots: PeerSnapshots;
   readonly #gate: StartGate;
-  readonly #book = new NameDictionary();
-  readonly #abort = new AbortController();
-  readonly #retries: SharedRetryBudget;
+  readonly #dictionary = new NameDictionary();
+  readonly #abortController = new AbortController();
+  readonly #retryBudget: SharedRetryBudget;
   readonly #peerLoad: PeerLoad;
   #graceMs: number;
   #server: CallerServer | undefined;
@@ -109,9 +107,9 @@
   private constructor(opts: EdgeOptions) {
     this.#opts = opts;
     const { cfg, clock, random, log, codec, sources } = opts;
-    this.#retries = new SharedRetryBudget(cfg.retries);
+    this.#retryBudget = new SharedRetryBudget(cfg.retries);
     this.#gate = new StartGate(clock);
-    for (const kind of KINDS) this.#book.add(kind);
+    for (const kind of RESOURCE_KINDS) this.#dictionary.add(kind);
     this.#graceMs = cfg.graceMs;
     this.#profile = {
       ...cfg.instance,
@@ -121,8 +119,8 @@
     this.#sender = new HttpEndpointSender(codec, clock);
     this.#snapshots = new PeerSnapshots(random);
     this.#state = new TrafficState((zone) => cfg.zones.get(zone), {
-      added: (row) => this.#book.add(row.id),
-      removed: (row) => this.#forget(row),
+      added: (row) => this.#dictionary.add(row.id),
+      removed: (row) => this.#onEndpointRemoved(row),
     });
     this.#peerLoad = new PeerLoad((id) => this.#state.endpoints.get(id));
     const fleetSize = () => this.#member.fleetSize;
@@ -153,37 +151,37 @@
       clock,
       log,
       expiry: this.#expiry,
-      listed: () => this.#listed(),
+      onListed: () => this.#onEndpointsListed(),
     });
     this.#watchers = new SteeringWatchers({
       sources,
       handlers: {
-        plans: new PlanHandler(this.#state, log, (p) => this.#adopted(p)),
+        plans: new PlanHandler(this.#state, log, (p) => this.#onPlanAdopted(p)),
         endpoints: this.#endpointHandler,
         evacuations: new EvacuationHandler(this.#state, clock, log),
       },
       clock,
       random,
       log,
-      peersFirstMs: cfg.firstStart ? FIRST_START_MS : 0,
+      peersFirstMs: cfg.firstStart ? FIRST_START_WAIT_MS : 0,
       relay: (changes) => this.#member.relay(changes),
       fetch: (kind, atLeast, signal) => {
-        const from = this.#member.instancesWithRevision(kind, atLeast);
-        return this.#snapshots.fetch(kind, from, signal);
+        const peers = this.#member.knowing(kind, atLeast);
+        return this.#snapshots.fetch(kind, peers, signal);
       },
     });
     this.#member = new FleetMember({
       profile: this.#profile,
       capacity: cfg.capacity,
       firstStart: cfg.firstStart,
-      assumedFleetSize: cfg.zones.size * ASSUMED_PER_ZONE,
+      assumed: cfg.zones.size * ASSUMED_INSTANCES_PER_ZONE,
       seeds: cfg.seeds.filter((seed) => seed !== cfg.listen.digest),
       transport: opts.transport,
-      dictionary: this.#book,
+      book: this.#dictionary,
       clock,
       random,
       log,
-      report: () => this.#report(),
+      report: () => this.#selfReport(),
       events: new GossipHandlers({
         quotas: this.#quotas,
         limits: this.#limits,
@@ -197,37 +195,37 @@
     });
   }
 
-  /** Starts an instance; it is ready once it has a plan and the endpoints. */
+  /** Starts an instance; it is ready once a plan and the endpoints are loaded. */
   static async start(opts: EdgeOptions): Promise<EdgeInstance> {
     const instance = new EdgeInstance(opts);
     await instance.#run();
     return instance;
   }
 
-  /** Whether callers should be sent here. */
+  /** Whether callers should connect to this instance. */
   get ready(): boolean {
     return this.state === "serving";
   }
 
   get state(): InstanceState {
     if (this.#leaving) return "leaving";
-    const known = this.#endpointsListed && this.#state.planVersion > 0;
-    return known ? "serving" : "starting";
+    const isLoaded = this.#endpointsListed && this.#state.planVersion > 0;
+    return isLoaded ? "serving" : "starting";
   }
 
-  /** Host and port of the instances for callers of a region. */
+  /** Host and port of the instances that callers of a region should use. */
   addresses(region: RegionId | undefined): string[] {
     const own = { profile: this.#profile, state: this.state };
     return callerAddresses(this.#member.serving(), own, region);
   }
 
   /**
-   * Takes over what may change while it runs: the time for a stop and the
-   * budget for second sends. Who and where it is holds until its next start.
+   * Applies the settings that can change at run time: the grace period of a stop
+   * and the retry budget. All others need a restart.
    */
   reconfigure(cfg: EdgeSettings): void {
     this.#graceMs = cfg.graceMs;
-    this.#retries.setAllowance(cfg.retries);
+    this.#retryBudget.setAllowance(cfg.retries);
     this.#opts.log.event("settings_reloaded", {
       graceMs: cfg.graceMs,
       retryRatio: cfg.retries.ratio,
@@ -235,27 +233,30 @@
     });
   }
 
-  /** Stops without cutting a request; resolves when all is closed. */
+  /** Shuts down gracefully; resolves when everything is closed. */
   async stop(): Promise<void> {
     if (this.#leaving) return;
     const { clock, log } = this.#opts;
-    const plan = stopPlan(this.#graceMs);
+    const stages = stopPlan(this.#graceMs);
     this.#leaving = true;
-    this.#server?.leave();
-    this.#member.sendDigestNow();
+    this.#server?.startDraining();
+    this.#member.tell();
     log.event("stop_begun", { graceMs: this.#graceMs });
-    const began = clock.now();
-    await sleep(clock, plan.stopListeningMs);
+    const stopStartedAt = clock.now();
+    await sleep(clock, stages.stopListeningMs);
     this.#server?.stopListening();
-    const leftMs = Math.max(0, plan.giveUpMs - (clock.now() - began));
-    await Promise.race([this.#server?.idle(), sleep(clock, leftMs)]);
-    log.event("stopped", { tookMs: Math.round(clock.now() - began) });
+    const leftMs = Math.max(
+      0,
+      stages.forceCloseMs - (clock.now() - stopStartedAt),
+    );
+    await Promise.race([this.#server?.whenIdle(), sleep(clock, leftMs)]);
+    log.event("stopped", { tookMs: Math.round(clock.now() - stopStartedAt) });
     await this.close();
   }
 
-  /** Ends at once. */
+  /** Closes everything immediately. */
   async close(): Promise<void> {
-    this.#abort.abort();
+    this.#abortController.abort();
     this.#watchers.close();
     this.#endpointHandler.close();
     await this.#member.close();
@@ -271,9 +272,9 @@
     this.#snapshotServer = await PlainServer.listen(
       snapshotAddress(cfg.listen.digest),
       (_method, url) =>
-        answerSnapshot(url, (kind) => this.#watchers.snapshot(kind)),
+        serveSnapshot(url, (kind) => this.#watchers.snapshot(kind)),
     );
-    const flow = this.#flow();
+    const flow = this.#createFlow();
     this.#server = await CallerServer.listen({
       address: cfg.listen.caller,
       codec,
@@ -287,11 +288,11 @@
       clock,
       random,
       log,
-      signal: this.#abort.signal,
+      signal: this.#abortController.signal,
     });
   }
 
-  #flow(): RequestFlow {
+  #createFlow(): RequestFlow {
     const { clock, log, metrics, codec } = this.#opts;
     return new RequestFlow({
       gate: this.#gate,
@@ -299,7 +300,7 @@
       chooser: this.#chooser,
       sender: this.#sender,
       codec,
-      retries: this.#retries,
+      retries: this.#retryBudget,
       fleetSize: () => this.#member.fleetSize,
       accessLog: new AccessLog({
         clock,
@@ -312,29 +313,29 @@
     });
   }
 
-  #adopted(plan: TrafficPlan): void {
+  #onPlanAdopted(plan: TrafficPlan): void {
     this.#opts.metrics.gauge("plan.in_force", plan.version);
-    for (const { id } of plan.accounts) this.#book.add(id);
+    for (const { id } of plan.accounts) this.#dictionary.add(id);
     this.#quotas.adopt(plan.accounts, this.#opts.clock.now());
-    this.#server?.limit(plan.limits);
-    this.#openGate();
+    this.#server?.applyLimits(plan.limits);
+    this.#openGateIfReady();
   }
 
-  #listed(): void {
+  #onEndpointsListed(): void {
     this.#endpointsListed = true;
-    this.#openGate();
+    this.#openGateIfReady();
   }
 
-  #openGate(): void {
+  #openGateIfReady(): void {
     if (this.ready && !this.#gate.isOpen) this.#gate.open();
   }
 
-  #forget(row: EndpointRow): void {
-    this.#chooser.forget(row);
-    this.#sender.forget(row);
+  #onEndpointRemoved(row: EndpointRow): void {
+    this.#chooser.remove(row);
+    this.#sender.closeIdleConnections(row);
   }
 
-  #report(): SelfReport {
+  #selfReport(): SelfReport {
     const inFlight = new Map<EndpointId, number>();
     for (const row of this.#state.endpoints.rows()) {
       if (row.inFlight > 0) inFlight.set(row.id, row.inFlight);
@@ -344,7 +345,7 @@
     return {
       state: this.state,
       planVersion: this.#state.planVersion,
-      storeInTouch: this.#endpointsListed && this.#expiry.inTouch,
+      storeInTouch: this.#endpointsListed && this.#expiry.isConnected,
       changes: this.#watchers.changes(),
       uses,
       inFlight,
--- a/src/edge/edge_settings.ts
+++ b/src/edge/edge_settings.ts
@@ -1,5 +1,5 @@
 /**
- * What an instance in this composition is told at its start.
+ * Settings of an instance.
  *
  * @module
  */
@@ -7,7 +7,6 @@
 import type { RateWindow } from "../decisions/quotas/mod.ts";
 import type { RetryAllowance } from "../decisions/retries/mod.ts";
 
-/** Settings of one instance. */
 export interface EdgeSettings {
   readonly instance: {
     readonly id: InstanceId;
@@ -16,22 +15,22 @@
   };
   /** The region of each availability zone. */
   readonly zones: ReadonlyMap<ZoneId, RegionId>;
-  /** How much the instance can carry: cores, as far as it has them. */
+  /** Capacity relative to other instances: its usable CPU cores. */
   readonly capacity: number;
   readonly listen: {
-    /** Host and port for callers. */
+    /** Host and port of the listener for callers. */
     readonly caller: string;
-    /** Host and port for digests of other instances. */
+    /** Host and port for gossip digests. */
     readonly digest: string;
   };
-  /** Whether the whole fleet starts for the first time. */
+  /** Whether this is the fleet's first start. */
   readonly firstStart: boolean;
-  /** Where other instances may be found before any is known. */
+  /** Gossip addresses contacted before any other instance is known. */
   readonly seeds: readonly string[];
-  /** Time between the stop's signal and the process's forced end, in ms. */
+  /** Time between the stop signal and the forced kill, in milliseconds. */
   readonly graceMs: number;
-  /** The fleet's budget for second sends. */
+  /** The fleet's retry budget. */
   readonly retries: RetryAllowance;
-  /** How client accounts' rates are judged. */
+  /** The window over which client accounts' rates are measured. */
   readonly rates: RateWindow;
 }
--- a/src/edge/endpoint_chooser.ts
+++ b/src/edge/endpoint_chooser.ts
@@ -1,5 +1,5 @@
 /**
- * Selects an endpoint per request and records the outcome for outlier detection.
+ * Selects an endpoint per request and records the result of each attempt.
  *
  * @module
  */
@@ -29,22 +29,20 @@
 import type { TrafficState } from "./traffic_state.ts";
 import type { RequestContext } from "./request_context.ts";
 
-/** What the chooser works with. */
+/** Dependencies of the chooser. */
 export interface EndpointChooserOptions {
   readonly state: TrafficState;
   readonly placement: Placement;
   readonly limits: EndpointLimits;
-  /** Instances that may be sending, this one included. */
+  /** Number of instances in the fleet, including this one. */
   readonly fleetSize: () => number;
-  /** This instance. */
   readonly own: InstanceId;
-  /** This instance's region. */
   readonly region: RegionId;
   /** Every region with callers. */
   readonly regions: readonly RegionId[];
 }
 
-/** An endpoint and why it was selected, or why there is none. */
+/** An endpoint and the reason for it, or why none was selected. */
 type Selection =
   | { readonly endpoint: EndpointRow; readonly why: PlacementReason }
   | {
@@ -53,23 +51,23 @@
     readonly why: string;
   };
 
-/** The decisions about endpoints, put together for one instance. */
+/** Combines the decisions about endpoints for one instance. */
 export class EndpointChooser {
   readonly #opts: EndpointChooserOptions;
   readonly #outliers = new OutlierDetector();
-  readonly #cold: SlowStartLimiter;
+  readonly #slowStart: SlowStartLimiter;
   readonly #latency = new LatencyEstimator();
   readonly #retryAfter = new RetryAfterPolicy();
 
   constructor(opts: EndpointChooserOptions) {
     this.#opts = opts;
-    this.#cold = new SlowStartLimiter(opts.own);
+    this.#slowStart = new SlowStartLimiter(opts.own);
   }
 
   /**
-   * The endpoint that a request goes to next.
+   * Selects the endpoint for the next attempt.
    *
-   * Failures: `no_endpoint`, `no_capacity`, with the time to come back.
+   * Failures: `no_endpoint`, `no_capacity`, each with a retry delay.
    */
   choose(ctx: RequestContext, now: number): Result<EndpointRow, Failure> {
     const { region, regions, state } = this.#opts;
@@ -81,65 +79,66 @@
       });
     }
     const ejectionLimited = this.#outliers.ejectionLimitReached(endpoints, now);
-    const ask: PlacementRequest = {
+    const request: PlacementRequest = {
       affinityKey: route.affinity ? req.fields.affinityKey : undefined,
       region,
       regions,
-      pinned: ctx.regions === undefined ? state.bound : NOTHING_PINNED,
+      pinned: ctx.regions === undefined ? state.pinned : NOTHING_PINNED,
       priority: account?.priority ?? route.priority,
       meanLatencyMs: this.#latency.of(service),
       usable: (row) =>
-        !tried.has(row) && this.#bearsOne(row, now) &&
+        !tried.has(row) && this.#hasColdCapacity(row, now) &&
         (ejectionLimited || !this.#outliers.isEjected(row, now)),
     };
-    const placed = this.#withinLimits(endpoints, ask, now);
-    if (placed.endpoint === undefined) {
+    const selection = this.#placeWithinLimits(endpoints, request, now);
+    if (selection.endpoint === undefined) {
       const outlook = this.#outlook(service, endpoints);
-      const waitMs = this.#retryAfter.whenFull(outlook, placed.waitMs, now);
-      return fail("no_capacity", placed.why, { retryAfterMs: waitMs });
+      const waitMs = this.#retryAfter.whenFull(outlook, selection.waitMs, now);
+      return fail("no_capacity", selection.why, { retryAfterMs: waitMs });
     }
-    ctx.chosenBy = placed.why;
-    this.#spendCold(placed.endpoint, now);
-    return ok(placed.endpoint);
+    ctx.chosenBy = selection.why;
+    this.#takeCold(selection.endpoint, now);
+    return ok(selection.endpoint);
   }
 
   /**
-   * Places a request without regard to limits first, so that each endpoint's
-   * whole demand is known; where that endpoint's limit has no room, among those
-   * that have.
+   * Places a request regardless of limits first, which records each endpoint's
+   * full demand. If that endpoint's limit is reached, places the request among
+   * endpoints whose limit is not.
    */
-  #withinLimits(
+  #placeWithinLimits(
     endpoints: readonly EndpointRow[],
-    ask: PlacementRequest,
+    request: PlacementRequest,
     now: number,
   ): Selection {
     const { placement, limits } = this.#opts;
-    const { priority: rank } = ask;
-    const first = placement.choose(endpoints, ask);
-    if (first.endpoint === undefined) return { ...first, why: NO_ROOM };
-    if (limits.take(first.endpoint, rank, now)) return first;
+    const { priority } = request;
+    const first = placement.choose(endpoints, request);
+    if (first.endpoint === undefined) return { ...first, why: NO_CAPACITY };
+    if (limits.admit(first.endpoint, priority, now)) return first;
     const { id } = first.endpoint;
     const second = placement.choose(endpoints, {
-      ...ask,
-      usable: (row) => ask.usable(row) && limits.hasRoom(row, rank, now),
+      ...request,
+      usable: (row) =>
+        request.usable(row) && limits.canSend(row, priority, now),
     });
     if (second.endpoint === undefined) {
       const why = `endpoint ${id} takes ${limits.limitOf(id)} requests a ` +
         "second, and no other can take the request in time";
       return { ...second, why };
     }
-    limits.take(second.endpoint, rank, now);
+    limits.admit(second.endpoint, priority, now);
     return second;
   }
 
-  /** Notes that a request goes out. */
+  /** Records that a request is being sent. */
   sent(row: EndpointRow, now: number): void {
     row.inFlight++;
     this.#outliers.sent(row, now);
   }
 
-  /** Takes what a result says of its endpoint. */
-  learn(
+  /** Records the result of an attempt. */
+  recordResult(
     row: EndpointRow,
     result: SendResult,
     opts: { readonly tookMs: number; readonly now: number },
@@ -149,7 +148,7 @@
     if (result.kind === "answer" || result.kind === "not-run") {
       const { load } = result.fields;
       if (load !== undefined) row.reported(load, now);
-      this.#learnLimit(row, result, now);
+      this.#recordLimit(row, result, now);
     }
     switch (result.kind) {
       case "answer":
@@ -161,14 +160,14 @@
         if (result.status < 500) this.#latency.add(row.record.service, tookMs);
         return;
       case "not-run":
-        // Another endpoint has the address: this one is gone, whatever the
-        // registry says yet.
+        // Another endpoint has the address, so this one has ended even if the
+        // registry still lists it.
         if (result.moved) this.#opts.state.endpoints.remove(row.id);
         else this.#outliers.record(row, "shed", now);
         return;
       case "unsent":
         this.#outliers.record(row, "unreachable", now);
-        this.#coldAfterOutage(row, now);
+        this.#markCold(row, now);
         return;
       case "unknown":
         this.#outliers.record(row, "failed", now);
@@ -179,10 +178,10 @@
   }
 
   /**
-   * Another endpoint may answer at the address. What sheds a request names its
-   * limit, but need not: only an answer lifts one.
+   * Ignores the limit of another endpoint at the same address. A refusal may
+   * omit the limit, so only a regular response without one removes it.
    */
-  #learnLimit(
+  #recordLimit(
     row: EndpointRow,
     result: Extract<SendResult, { kind: "answer" | "not-run" }>,
     now: number,
@@ -193,18 +192,18 @@
     this.#opts.limits.answered(row, limit, at);
   }
 
-  /** When a caller should come back whose request an endpoint shed, in ms. */
-  shedRetryMs(ctx: RequestContext, row: EndpointRow, now: number): number {
+  /** Retry delay for a request that an endpoint shed, in milliseconds. */
+  retryAfterShedMs(ctx: RequestContext, row: EndpointRow, now: number): number {
     const endpoints = this.#opts.state.eligible(ctx.service, ctx.regions);
     const outlook = this.#outlook(ctx.service, endpoints);
     return this.#retryAfter.whenShed(row, outlook, now);
   }
 
-  /** Forgets an endpoint that has ended. */
-  forget(row: EndpointRow): void {
+  /** Removes the state of an endpoint that has ended. */
+  remove(row: EndpointRow): void {
     this.#outliers.forget(row.id);
-    this.#cold.forget(row.id);
-    this.#opts.limits.forget(row);
+    this.#slowStart.forget(row.id);
+    this.#opts.limits.remove(row);
   }
 
   #outlook(
@@ -217,47 +216,46 @@
       slots += record.slots;
       limitPerS += this.#opts.limits.limitOf(id) ?? Infinity;
     }
-    const usualMs = this.#latency.of(service);
+    const meanLatencyMs = this.#latency.of(service);
     const instances = this.#opts.fleetSize();
-    return { service, slots, meanLatencyMs: usualMs, instances, limitPerS };
+    return { service, slots, meanLatencyMs, instances, limitPerS };
   }
 
-  /** Whether an endpoint that may be cold bears one request more. */
-  #bearsOne(row: EndpointRow, now: number): boolean {
-    if (!this.#cold.isCold(row, now)) return true;
-    return this.#cold.hasRoom(row, this.#coldRate(row), now);
+  /** Whether slow start allows one more request to an endpoint. */
+  #hasColdCapacity(row: EndpointRow, now: number): boolean {
+    if (!this.#slowStart.isCold(row, now)) return true;
+    return this.#slowStart.hasRoom(row, this.#coldRate(row), now);
   }
 
-  #spendCold(row: EndpointRow, now: number): void {
-    if (!this.#cold.isCold(row, now)) return;
-    this.#cold.take(row, this.#coldRate(row), now);
+  #takeCold(row: EndpointRow, now: number): void {
+    if (!this.#slowStart.isCold(row, now)) return;
+    this.#slowStart.take(row, this.#coldRate(row), now);
   }
 
   #coldRate(row: EndpointRow): ColdRate {
-    const ratePerS = this.#policy(row)?.coldRatePerS ?? UNKNOWN_COLD_PER_S;
+    const ratePerS = this.#policy(row)?.coldRatePerS ?? DEFAULT_COLD_RATE_PER_S;
     return { ratePerS, instances: this.#opts.fleetSize() };
   }
 
   /**
-   * An endpoint that could not be reached may have ended, and may come back
-   * under the same id with nothing in memory before the registry says so.
+   * Treats an unreachable endpoint as cold: it may restart under the same id with
+   * empty caches before the registry shows it.
    */
-  #coldAfterOutage(row: EndpointRow, now: number): void {
+  #markCold(row: EndpointRow, now: number): void {
     const coldMs = this.#policy(row)?.coldStartMs ?? 0;
     row.coldUntil = Math.max(row.coldUntil, now + coldMs);
   }
 
   #policy(row: EndpointRow): ServicePolicy | undefined {
-    return this.#opts.state.table?.plan.services.get(row.record.service);
+    return this.#opts.state.routeTable?.plan.services.get(row.record.service);
   }
 }
 
 /**
- * When to come back to a service without endpoints, in milliseconds: about as
- * long as a registration takes to be known.
+ * Retry delay for a service without endpoints, in milliseconds: about as long as
+ * a registration takes to reach this instance.
  */
 const NO_ENDPOINT_RETRY_MS = 250;
-/** Why a request is refused that finds all endpoints full. */
-const NO_ROOM = "no endpoint can take the request in time";
-/** Requests a second for a cold endpoint of a service the plan leaves out. */
-const UNKNOWN_COLD_PER_S = 1;
+const NO_CAPACITY = "no endpoint can take the request in time";
+/** Requests a second for a cold endpoint whose service is not in the plan. */
+const DEFAULT_COLD_RATE_PER_S = 1;
--- a/src/edge/endpoint_connections.ts
+++ b/src/edge/endpoint_connections.ts
@@ -1,5 +1,5 @@
 /**
- * Connections to endpoints, kept by address and reused the longest idle first.
+ * Connection pool by endpoint address; the longest idle is reused first.
  *
  * @module
  */
@@ -7,45 +7,45 @@
 import { connect, type Socket } from "node:net";
 import { type Clock, limitConnect } from "../core/mod.ts";
 import type { HostPort } from "../fleet/mod.ts";
-import { observe, type ObservedConnection } from "./connection_end.ts";
+import { type ConnectionState, trackConnection } from "./connection_end.ts";
 
 /**
- * How long a connection may take to open, in milliseconds: a few round trips
- * between regions, but not a lost packet's first repeat. An endpoint that is
- * gone without a word costs a request this long.
+ * Connect timeout in milliseconds: a few round trips between regions, but less
+ * than the first retransmission of a lost packet. A request to an endpoint that
+ * vanished without a reset is delayed by this time.
  */
-const CONNECT_MS = 500;
-/** Idle connections are closed after this long, in milliseconds. */
-const KEPT_MS = 9_000;
+const CONNECT_TIMEOUT_MS = 500;
+/** Time after which idle connections are closed, in milliseconds. */
+const IDLE_TIMEOUT_MS = 9_000;
 
-/** A connection that is open or being opened. */
-export interface EndpointConnection extends ObservedConnection {
-  /** Since when it is idle; undefined while it carries a request. */
+/** State of a connection that is open or being opened. */
+export interface EndpointConnection extends ConnectionState {
+  /** When it became idle; undefined while it carries a request. */
   idleSince: number | undefined;
-  /** How long it was idle before its request; undefined before the second. */
-  restedMs: number | undefined;
-  /** Its last answer was not whole, so its next bytes may belong to that. */
-  spoiled: boolean;
+  /** Idle time before the current request; undefined for the first one. */
+  idleBeforeMs: number | undefined;
+  /** Its last response was incomplete, so later bytes may belong to that. */
+  incomplete: boolean;
 }
 
-/** The agent that hands connections to requests. */
+/** HTTP agent that assigns connections to requests. */
 export class EndpointConnections extends Agent {
   readonly #clock: Clock;
   readonly #connections = new WeakMap<Socket, EndpointConnection>();
 
   constructor(clock: Clock) {
-    // The oldest first: it has most surely shown what is wrong with it.
+    // A late fault has most likely shown already on the longest idle connection.
     super({ keepAlive: true, scheduling: "fifo" });
     this.#clock = clock;
   }
 
-  /** The state of a connection that this agent opened. */
+  /** State of a connection that this agent opened. */
   of(socket: Socket): EndpointConnection | undefined {
     return this.#connections.get(socket);
   }
 
-  /** Closes connections to an address that are idle for so long, in ms. */
-  retire(address: HostPort, idleMs: number): void {
+  /** Closes connections to an address that were idle for `idleMs` or longer. */
+  closeIdle(address: HostPort, idleMs: number): void {
     const idle = this.freeSockets[this.getName(address)];
     if (idle === undefined) return;
     const now = this.#clock.now();
@@ -55,7 +55,7 @@
     }
   }
 
-  // The methods below are the agent's documented points of extension.
+  // The methods below are documented extension points of the agent.
 
   override createConnection(
     opts: AgentOptions & { host: string; port: number },
@@ -63,17 +63,17 @@
     const { host, port } = opts;
     const socket = connect({ host, port, allowHalfOpen: true, noDelay: true });
     const connection: EndpointConnection = {
-      opened: false,
-      ended: false,
+      connected: false,
+      remoteEnded: false,
       broken: false,
       idleSince: undefined,
-      restedMs: undefined,
-      spoiled: false,
+      idleBeforeMs: undefined,
+      incomplete: false,
     };
     this.#connections.set(socket, connection);
-    observe(socket, connection);
-    limitConnect(socket, CONNECT_MS, this.#clock);
-    // Whatever comes on an idle connection is no answer to a request.
+    trackConnection(socket, connection);
+    limitConnect(socket, CONNECT_TIMEOUT_MS, this.#clock);
+    // Bytes on an idle connection do not belong to any request.
     const closeIfIdle = () => {
       if (connection.idleSince !== undefined) socket.destroy();
     };
@@ -85,11 +85,14 @@
   override keepSocketAlive(socket: Socket): boolean {
     const connection = this.of(socket);
     if (connection === undefined) return false;
-    if (connection.ended || connection.broken || connection.spoiled) {
+    if (
+      connection.remoteEnded || connection.broken ||
+      connection.incomplete
+    ) {
       return false;
     }
     connection.idleSince = this.#clock.now();
-    socket.setTimeout(KEPT_MS);
+    socket.setTimeout(IDLE_TIMEOUT_MS);
     return true;
   }
 
@@ -97,7 +100,7 @@
     socket.setTimeout(0);
     const connection = this.of(socket);
     if (connection?.idleSince === undefined) return;
-    connection.restedMs = this.#clock.now() - connection.idleSince;
+    connection.idleBeforeMs = this.#clock.now() - connection.idleSince;
     connection.idleSince = undefined;
   }
 }
--- a/src/edge/endpoint_limits.ts
+++ b/src/edge/endpoint_limits.ts
@@ -1,6 +1,6 @@
 /**
- * Limits of endpoints at one instance: learned from answers and peers, kept
- * with the fleet, logged and counted.
+ * Rate limits that endpoints announce: received in responses and from peers,
+ * enforced together with the fleet, logged and counted.
  *
  * @module
  */
@@ -24,105 +24,103 @@
 import type { EndpointRow } from "../traffic/mod.ts";
 import type { AnswerLimit } from "./request_codec.ts";
 
-/** What limits are kept with. */
+/** Dependencies of the limits. */
 export interface EndpointLimitsOptions {
-  /** This instance. */
   readonly own: InstanceId;
-  /** The fleet's demand, which counts that for endpoints too. */
+  /** The fleet's demand, which includes that for endpoints. */
   readonly demand: FleetDemand;
-  /** How old what peers report may be, in milliseconds. */
+  /** Maximum age of peers' reports, in milliseconds. */
   readonly gossipDelayMs: () => number;
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Metrics;
 }
 
-/** Limits of endpoints as one instance keeps them. */
+/** Tracks and enforces the limits of endpoints at one instance. */
 export class EndpointLimits {
   readonly #opts: EndpointLimitsOptions;
-  readonly #register = new LimitTable();
-  readonly #sends: EndpointRateLimiter;
+  readonly #table = new LimitTable();
+  readonly #limiter: EndpointRateLimiter;
   readonly #unreadable = new Set<EndpointId>();
 
   constructor(opts: EndpointLimitsOptions) {
     this.#opts = opts;
-    this.#sends = new EndpointRateLimiter(opts.own, opts);
+    this.#limiter = new EndpointRateLimiter(opts.own, opts);
   }
 
-  /** Requests a second that an endpoint takes; undefined without a limit. */
+  /** An endpoint's limit in requests a second; undefined if there is none. */
   limitOf(id: EndpointId): number | undefined {
-    return this.#register.limitOf(id);
+    return this.#table.limitOf(id);
   }
 
-  /** Whether an endpoint's limit has room for a request of this rank. */
-  hasRoom({ id }: EndpointRow, rank: number, now: number): boolean {
+  /** Whether an endpoint's limit admits a request of this priority. */
+  canSend({ id }: EndpointRow, priority: number, now: number): boolean {
     const ratePerS = this.limitOf(id);
     if (ratePerS === undefined) return true;
-    return this.#sends.hasRoom(id, { ratePerS, rank }, now);
+    return this.#limiter.hasRoom(id, { ratePerS, rank: priority }, now);
   }
 
-  /** Counts a request that would go to an endpoint; gives whether it may. */
-  take({ id }: EndpointRow, rank: number, now: number): boolean {
+  /** Counts a request to an endpoint as demand; returns whether it may be sent. */
+  admit({ id }: EndpointRow, priority: number, now: number): boolean {
     const ratePerS = this.limitOf(id);
     if (ratePerS === undefined) return true;
-    const admitted = this.#sends.take(id, { ratePerS, rank }, now);
+    const admitted = this.#limiter.take(id, { ratePerS, rank: priority }, now);
     const result = admitted ? "sent" : "withheld";
     this.#opts.metrics.count("endpoint.limited", { endpoint: id, result });
     return admitted;
   }
 
-  /** Takes in what an answer says whose head came at `at`. */
+  /** Applies the limit of a response whose header arrived at `at`. */
   answered({ id }: EndpointRow, limit: AnswerLimit, at: number): void {
-    if (limit.kind === "unreadable") return this.#noteUnreadable(id);
+    if (limit.kind === "unreadable") return this.#logUnreadable(id);
     this.#unreadable.delete(id);
     const ratePerS = limit.kind === "limited" ? limit.ratePerS : undefined;
-    this.#follow(
+    this.#applyChange(
       id,
       "answer",
-      () => this.#register.observe(id, { ratePerS, at }),
+      () => this.#table.observe(id, { ratePerS, at }),
     );
   }
 
-  /** Takes in what another instance, or several as one, report. */
-  reported(news: GroupReport, now: number): void {
-    const { group, limits, uses } = news;
-    this.#sends.applyReport({ ...news, instance: group }, uses, now);
+  /** Applies a report of another instance or group. */
+  applyReport(report: GroupReport, now: number): void {
+    const { group, limits, uses } = report;
+    this.#limiter.applyReport({ ...report, instance: group }, uses, now);
     for (const [id, limit] of limits) {
-      this.#follow(id, group, () => this.#register.applyReport(id, limit));
+      this.#applyChange(id, group, () => this.#table.applyReport(id, limit));
     }
   }
 
-  /** A group is not heard. */
-  unreachable(group: InstanceId): void {
-    this.#sends.markUnreachable(group);
+  markUnreachable(group: InstanceId): void {
+    this.#limiter.markUnreachable(group);
   }
 
-  /** Limits that this instance observed lately, for its peers. */
+  /** Limits that this instance observed recently, for its peers. */
   observed(): ObservedLimits {
-    return this.#register.report(this.#opts.clock.now());
+    return this.#table.report(this.#opts.clock.now());
   }
 
-  /** What this instance sent to endpoints with a limit, for its peers. */
+  /** Requests of this instance to endpoints with a limit, for its peers. */
   uses(): ReadonlyMap<RateLimitId, RateUse> {
-    return this.#sends.uses();
+    return this.#limiter.uses();
   }
 
-  /** Forgets an endpoint that ended or started anew. */
-  forget({ id }: EndpointRow): void {
+  /** Removes an endpoint that ended or restarted. */
+  remove({ id }: EndpointRow): void {
     this.#unreadable.delete(id);
     const { clock } = this.#opts;
-    this.#follow(id, "end", () => this.#register.remove(id, clock.now()));
+    this.#applyChange(id, "end", () => this.#table.remove(id, clock.now()));
   }
 
-  /** Applies a change to the register, and follows what it does to a limit. */
-  #follow(id: EndpointId, source: string, apply: () => void): void {
+  /** Applies a change to the table, and logs it if the limit differs. */
+  #applyChange(id: EndpointId, source: string, apply: () => void): void {
     const before = this.limitOf(id);
     apply();
     const after = this.limitOf(id);
     if (after === before) return;
     const { clock, log, metrics } = this.#opts;
-    if (after === undefined) this.#sends.remove(id);
-    else this.#sends.track(id, clock.now());
+    if (after === undefined) this.#limiter.remove(id);
+    else this.#limiter.track(id, clock.now());
     metrics.gauge("endpoint.limit", after ?? 0, { endpoint: id });
     log.event("endpoint_limit_changed", {
       endpoint: id,
@@ -131,7 +129,7 @@
     });
   }
 
-  #noteUnreadable(endpoint: EndpointId): void {
+  #logUnreadable(endpoint: EndpointId): void {
     if (this.#unreadable.has(endpoint)) return;
     this.#unreadable.add(endpoint);
     this.#opts.log.event("endpoint_limit_unreadable", { endpoint });
--- a/src/edge/endpoint_sender.ts
+++ b/src/edge/endpoint_sender.ts
@@ -1,5 +1,5 @@
 /**
- * Interface of what sends one request to one endpoint.
+ * Interface for sending a request to an endpoint.
  *
  * @module
  */
@@ -7,48 +7,48 @@
 import type { EndpointRow } from "../traffic/mod.ts";
 import type { AnswerFields } from "./request_codec.ts";
 
-/** A request as it goes out. */
+/** A request to an endpoint. */
 export interface OutgoingRequest {
   readonly method: string;
   readonly path: string;
   readonly headers: string[];
   readonly body: Buffer | undefined;
-  /** The id that the answer has to name. */
+  /** The request id that the response must have. */
   readonly requestId: string;
 }
 
-/** Takes the rest of an answer that is too long to be held. */
-export interface AnswerSink {
-  /** Gives whether more may come at once; else `resume` asks for it. */
+/** Receives the remainder of a response that is too large to buffer. */
+export interface BodySink {
+  /** Returns false to pause the stream until `resume` is called. */
   data(chunk: Buffer): boolean;
   end(): void;
-  /** The answer broke off; what the caller has must not look complete. */
+  /** The response was truncated and must not look complete to the caller. */
   fail(reason: string): void;
 }
 
-/** The rest of an answer, on its way. */
-export interface AnswerRest {
-  pipe(sink: AnswerSink): void;
+/** The remainder of a response that is still being received. */
+export interface BodyRemainder {
+  pipe(sink: BodySink): void;
   resume(): void;
-  /** Nobody wants it any more; the connection is let go. */
+  /** Discards the remainder and closes the connection. */
   cancel(): void;
 }
 
-/** An answer's body: whole, or its beginning and the rest. */
-export interface AnswerBody {
+/** A response body: complete, or its beginning and the remainder. */
+export interface ResponseBody {
   readonly bytes: Buffer;
-  readonly rest: AnswerRest | undefined;
+  readonly remainder: BodyRemainder | undefined;
 }
 
 /** Why it is not known whether an endpoint ran a request. */
 export type UnknownReason =
   /** The connection broke. */
   | "broken"
-  /** The answer was that of another request. */
+  /** The response belongs to another request. */
   | "foreign"
-  /** What came was no answer. */
+  /** The received bytes are not an HTTP response. */
   | "malformed"
-  /** The answer ended early. */
+  /** The response was truncated. */
   | "cut";
 
 /** Outcome of one attempt at an endpoint. */
@@ -58,13 +58,13 @@
     readonly status: number;
     readonly headers: string[];
     readonly fields: AnswerFields;
-    /** When its head came, on the instance's clock; just now if unknown. */
+    /** When its header arrived, on the instance's clock; now if undefined. */
     readonly headAt?: number;
-    readonly body: AnswerBody;
+    readonly body: ResponseBody;
   }
-  /** No byte of it can have arrived. */
+  /** No byte of the request was sent. */
   | { readonly kind: "unsent"; readonly reason: string }
-  /** The endpoint said that it did not run it. */
+  /** The endpoint stated that it did not run the request. */
   | {
     readonly kind: "not-run";
     readonly moved: boolean;
@@ -72,20 +72,19 @@
     readonly headAt?: number;
   }
   | { readonly kind: "unknown"; readonly reason: UnknownReason }
-  /** `cancel` was called before an answer came. */
+  /** `cancel` was called before a response was received. */
   | { readonly kind: "cancelled"; readonly sent: boolean };
 
-/** A request on its way. */
-export interface Sending {
+/** A request in flight. */
+export interface PendingSend {
   readonly result: Promise<SendResult>;
-  /** Ends it; the endpoint sees its connection close. */
+  /** Aborts the request and closes its connection. */
   cancel(): void;
 }
 
 /** Sends requests to endpoints. */
 export interface EndpointSender {
-  send(endpoint: EndpointRow, req: OutgoingRequest): Sending;
-  /** Lets the connections to an endpoint go. */
-  forget(endpoint: EndpointRow): void;
+  send(endpoint: EndpointRow, req: OutgoingRequest): PendingSend;
+  closeIdleConnections(endpoint: EndpointRow): void;
   close(): void;
 }
--- a/src/edge/exchange.ts
+++ b/src/edge/exchange.ts
@@ -1,34 +1,34 @@
 /**
- * One request and its answer on one connection.
+ * One request and its response on one connection.
  *
  * @module
  */
 import { Buffer } from "node:buffer";
 import type { ClientRequest, IncomingMessage } from "node:http";
 import type { Clock } from "../core/mod.ts";
-import { holdEnd } from "./connection_end.ts";
+import { delayEnd } from "./connection_end.ts";
 import type { EndpointConnection } from "./endpoint_connections.ts";
-import type { AnswerRest, AnswerSink, SendResult } from "./endpoint_sender.ts";
+import type { BodyRemainder, BodySink, SendResult } from "./endpoint_sender.ts";
 import { headerOf } from "./header_fields.ts";
 import type { AnswerFields, RequestCodec } from "./request_codec.ts";
 
 /**
- * Answers up to this size are held until they are whole, in bytes: one that
- * breaks off can then be had from another endpoint, or be reported as a
- * failure, where a caller would otherwise get half of it.
+ * Responses up to this size in bytes are buffered until complete: a truncated
+ * one can then be retried at another endpoint or reported as a failure, where
+ * the caller would otherwise get half of it.
  */
-const HELD_BYTES = 262_144;
+const MAX_BUFFERED_BYTES = 262_144;
 
-/** What an exchange works with. */
+/** Dependencies of an exchange. */
 export interface ExchangeOptions {
-  /** The id that the answer has to name. */
+  /** The request id that the response must have. */
   readonly requestId: string;
   readonly codec: RequestCodec;
   readonly clock: Clock;
   readonly settle: (result: SendResult) => void;
 }
 
-/** Follows one request from its connection to the end of its answer. */
+/** Tracks one request until the end of its response. */
 export class Exchange {
   readonly #opts: ExchangeOptions;
   readonly #req: ClientRequest;
@@ -36,10 +36,10 @@
   #res: IncomingMessage | undefined;
   #fields: AnswerFields | undefined;
   #headAt = 0;
-  #held: Buffer[] = [];
-  #heldBytes = 0;
+  #buffered: Buffer[] = [];
+  #bufferedBytes = 0;
   #settled = false;
-  #sink: AnswerSink | undefined;
+  #sink: BodySink | undefined;
   #failure: string | undefined;
   #ended = false;
 
@@ -50,22 +50,22 @@
     req.on("error", (error) => this.#onError(error));
   }
 
-  /** How long the connection had been idle; undefined if it was new. */
-  get restedMs(): number | undefined {
-    return this.#connection?.restedMs;
+  /** Idle time of the connection before the request; undefined if it was new. */
+  get idleBeforeMs(): number | undefined {
+    return this.#connection?.idleBeforeMs;
   }
 
-  /** Whether bytes of the request may have gone out. */
+  /** Whether bytes of the request may have been sent. */
   get sent(): boolean {
-    return this.#connection?.opened === true;
+    return this.#connection?.connected === true;
   }
 
-  /** Takes the connection that the request goes out on. */
+  /** Sets the connection that the request is sent on. */
   attach(connection: EndpointConnection | undefined): void {
     this.#connection = connection;
   }
 
-  /** Ends the exchange; the endpoint sees its connection close. */
+  /** Aborts the exchange and closes its connection. */
   cancel(): void {
     this.#finish({ kind: "cancelled", sent: this.sent });
     this.#req.destroy();
@@ -76,15 +76,15 @@
     this.#res = res;
     this.#headAt = this.#opts.clock.now();
     this.#fields = this.#opts.codec.readAnswer(status, res.rawHeaders);
-    if (!this.#isAnswer(this.#fields)) {
+    if (!this.#matchesRequest(this.#fields)) {
       this.#finish({ kind: "unknown", reason: "foreign" });
       this.#req.destroy();
       return;
     }
-    if (endsWithConnection(res)) holdEnd(res.socket, this.#opts.clock);
+    if (isCloseDelimited(res)) delayEnd(res.socket, this.#opts.clock);
     res.on("data", (chunk: Buffer) => this.#onData(res, chunk));
     res.on("end", () => this.#onEnd(res));
-    res.on("error", () => this.#brokeOff("cut"));
+    res.on("error", () => this.#fail("cut"));
   }
 
   #onData(res: IncomingMessage, chunk: Buffer): void {
@@ -92,29 +92,29 @@
       if (!this.#sink.data(chunk)) res.pause();
       return;
     }
-    this.#held.push(chunk);
-    this.#heldBytes += chunk.length;
-    if (this.#heldBytes <= HELD_BYTES) return;
+    this.#buffered.push(chunk);
+    this.#bufferedBytes += chunk.length;
+    if (this.#bufferedBytes <= MAX_BUFFERED_BYTES) return;
     res.pause();
-    this.#answer(res, this.#rest(res));
+    this.#deliver(res, this.#remainder(res));
   }
 
   #onEnd(res: IncomingMessage): void {
-    if (!this.#isWhole(res)) return this.#brokeOff("cut");
+    if (!this.#isComplete(res)) return this.#fail("cut");
     this.#ended = true;
     if (this.#sink !== undefined) this.#sink.end();
-    else this.#answer(res, undefined);
+    else this.#deliver(res, undefined);
   }
 
-  /** The parser takes an answer without a length for whole after a reset. */
-  #isWhole(res: IncomingMessage): boolean {
-    const reset = this.#connection?.broken === true && endsWithConnection(res);
+  /** The parser reports a close-delimited response as complete after a reset. */
+  #isComplete(res: IncomingMessage): boolean {
+    const reset = this.#connection?.broken === true && isCloseDelimited(res);
     return res.complete && !reset;
   }
 
-  #brokeOff(reason: "cut" | "malformed" | "broken"): void {
+  #fail(reason: "cut" | "malformed" | "broken"): void {
     if (this.#ended) return;
-    if (this.#connection !== undefined) this.#connection.spoiled = true;
+    if (this.#connection !== undefined) this.#connection.incomplete = true;
     this.#failure = reason;
     this.#sink?.fail(reason);
     this.#finish({ kind: "unknown", reason });
@@ -122,28 +122,27 @@
 
   #onError(error: Error & { readonly code?: string }): void {
     const res = this.#res;
-    // What follows a whole answer does not concern it; its end is yet to come.
-    if (res?.complete && !endsWithConnection(res)) return;
+    // An error after a complete response does not affect it; `end` still follows.
+    if (res?.complete && !isCloseDelimited(res)) return;
     if (!this.sent) {
       const reason = error.code ?? error.message;
       return this.#finish({ kind: "unsent", reason });
     }
     const malformed = error.code?.startsWith("HPE_") === true;
-    const begun = res !== undefined;
-    this.#brokeOff(begun ? "cut" : malformed ? "malformed" : "broken");
+    const hasResponse = res !== undefined;
+    this.#fail(hasResponse ? "cut" : malformed ? "malformed" : "broken");
   }
 
   /**
-   * Whether this answers the request that was sent. An answer to an earlier
-   * request can come late, where that to the next one is due; the caller would
-   * get somebody else's. A refusal may come without an id.
+   * Whether a response belongs to the request. A late response to an earlier
+   * request would otherwise go to the wrong caller. Refusals may have no id.
    */
-  #isAnswer({ requestId, notRun, moved }: AnswerFields): boolean {
+  #matchesRequest({ requestId, notRun, moved }: AnswerFields): boolean {
     if (requestId === undefined) return notRun || moved;
     return requestId === this.#opts.requestId;
   }
 
-  #answer(res: IncomingMessage, rest: AnswerRest | undefined): void {
+  #deliver(res: IncomingMessage, rest: BodyRemainder | undefined): void {
     const fields = this.#fields;
     if (fields === undefined || this.#settled) return;
     if (fields.moved || fields.notRun) {
@@ -151,19 +150,19 @@
       this.#finish({ kind: "not-run", moved, fields, headAt: this.#headAt });
       return;
     }
-    const bytes = Buffer.concat(this.#held);
-    this.#held = [];
+    const bytes = Buffer.concat(this.#buffered);
+    this.#buffered = [];
     this.#finish({
       kind: "answer",
       status: res.statusCode ?? 0,
       headers: res.rawHeaders,
       fields,
       headAt: this.#headAt,
-      body: { bytes, rest },
+      body: { bytes, remainder: rest },
     });
   }
 
-  #rest(res: IncomingMessage): AnswerRest {
+  #remainder(res: IncomingMessage): BodyRemainder {
     return {
       pipe: (sink) => {
         this.#sink = sink;
@@ -183,7 +182,7 @@
   }
 }
 
-function endsWithConnection({ rawHeaders }: IncomingMessage): boolean {
+function isCloseDelimited({ rawHeaders }: IncomingMessage): boolean {
   return headerOf(rawHeaders, "content-length") === undefined &&
     headerOf(rawHeaders, "transfer-encoding") === undefined;
 }
--- a/src/edge/expiry_guard.ts
+++ b/src/edge/expiry_guard.ts
@@ -1,73 +1,77 @@
 /**
- * Tells registrations that expired during an outage of the store from endpoints
- * that left.
+ * Distinguishes registrations that expired in a store outage from endpoints that
+ * left.
  *
- * While the store is away endpoints cannot renew their entries, and all of them
- * lapse at once. Those that live are back within two seconds of its return.
- * Taken as gone, every request would be refused until then. But where only this
- * instance was cut off from the store, endpoints renewed theirs all the while,
- * and what is missing has left: it must get nothing more.
+ * During an outage endpoints cannot renew their registrations, and all of them
+ * expire. Live endpoints register again within two seconds of its end; if they
+ * were removed, every request would be refused until then. If only this instance
+ * lost the store, endpoints kept renewing: a missing one has left and must get
+ * no more requests.
  *
  * @module
  */
 
-/** How long after the store's return a missing entry may come back, in ms. */
-const RETURN_MS = 2_300;
+/** Time after an outage in which a missing entry may be renewed, in ms. */
+const RENEWAL_GRACE_MS = 2_300;
 /**
- * Shorter outages let no entry lapse, in milliseconds: endpoints renew theirs
- * every second or two, and an entry outlives three renewals that fail.
+ * Shortest outage in which entries expire, in milliseconds: endpoints renew
+ * theirs every second or two, and an entry outlives three failed renewals.
  */
-const LEAST_OUTAGE_MS = 2_500;
+const MIN_OUTAGE_MS = 2_500;
 /**
- * How long after this instance lost the store others count as in touch with
- * it, in milliseconds: they may notice the same outage this much later.
+ * How long after this instance lost the store the contact of others is ignored,
+ * in milliseconds: they may detect the same outage this much later.
  */
-const NOTICE_MS = 1_000;
+const DETECTION_SKEW_MS = 1_000;
 
-/** Follows outages of the store at one instance. */
+/** Tracks store outages at one instance. */
 export class ExpiryGuard {
   #lostAt: number | undefined;
-  /** When another instance was first in touch during this outage. */
-  #othersAt: number | undefined;
+  /** When another instance was first connected during this outage. */
+  #peerContactAt: number | undefined;
   #holdUntil = -Infinity;
 
-  /** Whether this instance is in touch with the store. */
-  get inTouch(): boolean {
+  /** Whether the store responds to this instance. */
+  get isConnected(): boolean {
     return this.#lostAt === undefined;
   }
 
-  /** The store does not answer here. */
+  /** Records that the store does not respond to this instance. */
   lost(now: number): void {
     if (this.#lostAt !== undefined) return;
     this.#lostAt = now;
-    this.#othersAt = undefined;
+    this.#peerContactAt = undefined;
   }
 
-  /** Another instance says that it is in touch with the store. */
-  otherInTouch(now: number): void {
-    if (this.#lostAt === undefined || now < this.#lostAt + NOTICE_MS) return;
-    this.#othersAt ??= now;
+  /** Records that another instance reports contact with the store. */
+  recordPeerContact(now: number): void {
+    if (
+      this.#lostAt === undefined ||
+      now < this.#lostAt + DETECTION_SKEW_MS
+    ) return;
+    this.#peerContactAt ??= now;
   }
 
-  /** The store answers again. */
+  /** Records that the store responds again. */
   regained(now: number): void {
     if (this.#lostAt === undefined) return;
     const outageMs = now - this.#lostAt;
-    // Others that were in touch by the middle of it did not merely regain the
-    // store a little earlier.
-    const middle = this.#lostAt + outageMs / 2;
-    const onlyHere = this.#othersAt !== undefined && this.#othersAt < middle;
+    // A peer that was connected by the midpoint of the outage did not merely
+    // reconnect a little earlier.
+    const midpoint = this.#lostAt + outageMs / 2;
+    const isLocal = this.#peerContactAt !== undefined &&
+      this.#peerContactAt < midpoint;
     this.#lostAt = undefined;
-    if (outageMs < LEAST_OUTAGE_MS || onlyHere) return;
-    this.#holdUntil = now + RETURN_MS;
+    if (outageMs < MIN_OUTAGE_MS || isLocal) return;
+    this.#holdUntil = now + RENEWAL_GRACE_MS;
   }
 
-  /** An instance that is in touch with the store holds entries so long, in ms. */
+  /** Applies the hold time of an instance that is connected, in ms. */
   holdFor(forMs: number, now: number): void {
     this.#holdUntil = Math.max(this.#holdUntil, now + forMs);
   }
 
-  /** How long an entry that is missing now may still come back, in ms. */
+  /** How long an entry that is missing now may still be renewed, in ms. */
   holdMs(now: number): number {
     return Math.max(0, this.#holdUntil - now);
   }
--- a/src/edge/expiry_guard_test.ts
+++ b/src/edge/expiry_guard_test.ts
@@ -1,9 +1,9 @@
 import test from "ava";
 import { ExpiryGuard } from "./expiry_guard.ts";
 
-test("after an outage for all, missing entries are given time to come back", (t) => {
-  // The store was away for five seconds and the entries of all endpoints have
-  // lapsed. Were they taken as gone, every request would be refused.
+test("after an outage for all instances, missing entries may be renewed", (t) => {
+  // After a store outage of five seconds all entries have expired. If they were
+  // removed, every request would be refused.
   const expiry = new ExpiryGuard();
   expiry.lost(1_000);
   expiry.regained(6_000);
@@ -11,33 +11,33 @@
   t.is(expiry.holdMs(9_000), 0);
 });
 
-test("another instance that regains the store first changes nothing", (t) => {
+test("a peer that reconnects to the store first does not shorten the hold", (t) => {
   const expiry = new ExpiryGuard();
   expiry.lost(1_000);
-  expiry.otherInTouch(5_500);
+  expiry.recordPeerContact(5_500);
   expiry.regained(6_000);
   t.true(expiry.holdMs(6_000) > 0);
 });
 
-test("after an outage for this instance alone, what is missing is gone", (t) => {
-  // Only this instance was cut off from the store, for ten seconds, and an
-  // endpoint left meanwhile. It must get nothing more as soon as that is known.
+test("after an outage of this instance alone, missing entries are removed", (t) => {
+  // Only this instance lost the store, for ten seconds, and an endpoint left
+  // meanwhile. It must get no requests once that is known.
   const expiry = new ExpiryGuard();
   expiry.lost(1_000);
-  expiry.otherInTouch(2_100);
+  expiry.recordPeerContact(2_100);
   expiry.regained(11_000);
   t.is(expiry.holdMs(11_000), 0);
 });
 
-test("what another told before it noticed the outage does not count", (t) => {
+test("a contact reported before a peer detected the outage is ignored", (t) => {
   const expiry = new ExpiryGuard();
   expiry.lost(1_000);
-  expiry.otherInTouch(1_200);
+  expiry.recordPeerContact(1_200);
   expiry.regained(6_000);
   t.true(expiry.holdMs(6_000) > 0);
 });
 
-test("a short outage lets nothing lapse", (t) => {
+test("no entry expires in a short outage", (t) => {
   const expiry = new ExpiryGuard();
   expiry.lost(1_000);
   expiry.regained(2_000);
--- a/src/edge/gossip_handlers.ts
+++ b/src/edge/gossip_handlers.ts
@@ -1,5 +1,5 @@
 /**
- * Handlers of gossip: rates, load, the store's watch and expiry follow it.
+ * Applies gossip events to quotas, limits, load, watchers and expiry.
  *
  * @module
  */
@@ -12,14 +12,14 @@
 import type { PeerLoad } from "./peer_load.ts";
 import type { SteeringWatchers } from "./steering_watchers.ts";
 
-/** What handles gossip. */
+/** Dependencies of the gossip handlers. */
 export interface GossipHandlersOptions {
   readonly quotas: AccountQuotas;
   readonly limits: EndpointLimits;
   readonly peerLoad: PeerLoad;
   readonly watchers: SteeringWatchers;
   readonly expiry: ExpiryGuard;
-  /** Whether a watcher of the store that serves this instance is answered. */
+  /** Whether a peer that watches the store for this instance reaches it. */
   readonly watchPeerInTouch: () => boolean;
   readonly clock: Clock;
   readonly log: Log;
@@ -34,38 +34,38 @@
     this.#opts = opts;
   }
 
-  reported(news: GroupReport, now: number): void {
+  reported(report: GroupReport, now: number): void {
     const { quotas, limits, expiry, peerLoad, watchers } = this.#opts;
-    const { group: instance, uses, inFlight } = news;
-    quotas.applyReport({ ...news, instance }, uses, now);
-    limits.reported(news, now);
-    if (news.storeInTouch) expiry.otherInTouch(now);
+    const { group: instance, uses, inFlight } = report;
+    quotas.applyReport({ ...report, instance }, uses, now);
+    limits.applyReport(report, now);
+    if (report.storeInTouch) expiry.recordPeerContact(now);
     peerLoad.reported(instance, inFlight);
-    watchers.onRevision(news.changes);
+    watchers.onPeerRevisions(report.changes);
   }
 
   suspect(group: InstanceId): void {
     this.#opts.quotas.markUnreachable(group);
-    this.#opts.limits.unreachable(group);
+    this.#opts.limits.markUnreachable(group);
   }
 
   unreachable(group: InstanceId): void {
-    this.#opts.peerLoad.unreachable(group);
+    this.#opts.peerLoad.remove(group);
   }
 
   removed(group: InstanceId): void {
     this.#opts.quotas.remove(group);
-    this.#opts.limits.unreachable(group);
-    this.#opts.peerLoad.unreachable(group);
+    this.#opts.limits.markUnreachable(group);
+    this.#opts.peerLoad.remove(group);
   }
 
   relayed(changes: RelayedChanges): void {
-    this.#opts.watchers.reported(changes);
+    this.#opts.watchers.applyRelayed(changes);
   }
 
   /**
-   * An instance that does not watch the store is in touch with it while one
-   * that watches for it is.
+   * An instance that does not watch the store counts as connected to it while
+   * the peer that watches for it is.
    */
   roles({ isRelay, isStoreWatcher }: Roles): void {
     const { clock, log, watchers, expiry, watchPeerInTouch } = this.#opts;
--- a/src/edge/header_fields.ts
+++ b/src/edge/header_fields.ts
@@ -1,15 +1,15 @@
 /**
- * Header fields as they came.
+ * Lookup in raw header fields.
  *
- * `headers` of a message is worked out from all fields when it is first read;
- * of most messages one or two are of interest.
+ * `headers` of a message parses all fields on first access; most messages need
+ * only one or two.
  *
  * @module
  */
 import type { RawHeaders } from "./request_codec.ts";
 
 /**
- * The value of the first field of that name, which is given in lower case.
+ * The value of the first field with a name, which must be in lower case.
  *
  * @example
  * ```ts
--- a/src/edge/http_endpoint_sender.ts
+++ b/src/edge/http_endpoint_sender.ts
@@ -1,9 +1,9 @@
 /**
- * Sends requests to endpoints over HTTP/1.1 on kept connections.
+ * Sends requests to endpoints over persistent HTTP/1.1 connections.
  *
- * A connection carries one request at a time. One that was idle for nearly as
- * long as the endpoint allows is not used: its close may cross the request,
- * which is then lost.
+ * A connection carries one request at a time. It is not reused after being idle
+ * for nearly the endpoint's keep-alive timeout: the endpoint may close it while
+ * the request is on the way, which is then lost.
  *
  * @module
  */
@@ -16,21 +16,25 @@
 import type {
   EndpointSender,
   OutgoingRequest,
-  Sending,
+  PendingSend,
   SendResult,
 } from "./endpoint_sender.ts";
 import { Exchange } from "./exchange.ts";
 import type { RequestCodec } from "./request_codec.ts";
 
 /** Methods whose requests usually have no body. */
-const BODYLESS: ReadonlySet<string> = new Set(["GET", "HEAD", "DELETE"]);
+const BODYLESS_METHODS: ReadonlySet<string> = new Set([
+  "GET",
+  "HEAD",
+  "DELETE",
+]);
 
-/** The sender that instances use. */
+/** Sends requests with the Node.js HTTP client. */
 export class HttpEndpointSender implements EndpointSender {
   readonly #codec: RequestCodec;
   readonly #clock: Clock;
   readonly #connections: EndpointConnections;
-  readonly #limits = new IdleTimeouts();
+  readonly #idle = new IdleTimeouts();
 
   constructor(codec: RequestCodec, clock: Clock) {
     this.#codec = codec;
@@ -38,72 +42,72 @@
     this.#connections = new EndpointConnections(clock);
   }
 
-  send(endpoint: EndpointRow, out: OutgoingRequest): Sending {
+  send(endpoint: EndpointRow, outgoing: OutgoingRequest): PendingSend {
     const address = splitAddress(endpoint.record.address);
-    this.#connections.retire(address, this.#limits.of(endpoint));
+    this.#connections.closeIdle(address, this.#idle.of(endpoint));
     let req: ClientRequest;
     try {
       req = request({
         ...address,
-        method: out.method,
-        path: out.path,
-        headers: headersOf(out),
+        method: outgoing.method,
+        path: outgoing.path,
+        headers: headersOf(outgoing),
         agent: this.#connections,
       });
     } catch (cause) {
-      // The runtime does not take its path or fields; nothing went out.
+      // Node.js rejected the path or a header field; nothing was sent.
       return unsent(String(cause));
     }
     let settle: (result: SendResult) => void;
     const result = new Promise<SendResult>((resolve) => settle = resolve);
     const exchange = new Exchange(req, {
-      requestId: out.requestId,
+      requestId: outgoing.requestId,
       codec: this.#codec,
       clock: this.#clock,
       settle: (result) => {
-        this.#learn(endpoint, result, exchange.restedMs);
+        this.#recordIdleTimeout(endpoint, result, exchange.idleBeforeMs);
         settle(result);
       },
     });
     req.once("socket", (socket) => {
       exchange.attach(this.#connections.of(socket));
     });
-    req.end(out.body);
+    req.end(outgoing.body);
     return { result, cancel: () => exchange.cancel() };
   }
 
-  forget(endpoint: EndpointRow): void {
-    this.#connections.retire(splitAddress(endpoint.record.address), 0);
+  closeIdleConnections(endpoint: EndpointRow): void {
+    this.#connections.closeIdle(splitAddress(endpoint.record.address), 0);
   }
 
   close(): void {
     this.#connections.destroy();
   }
 
-  /** Learns how long connections to the endpoint may be idle. */
-  #learn(
+  /** Updates how long connections to the endpoint may be idle. */
+  #recordIdleTimeout(
     endpoint: EndpointRow,
     result: SendResult,
-    restedMs: number | undefined,
+    idleMs: number | undefined,
   ): void {
     if (result.kind === "answer") {
       const { keepAliveMs } = result.fields;
-      if (keepAliveMs !== undefined) this.#limits.stated(endpoint, keepAliveMs);
-      if (restedMs !== undefined) this.#limits.reused(endpoint);
+      if (keepAliveMs !== undefined) this.#idle.stated(endpoint, keepAliveMs);
+      if (idleMs !== undefined) this.#idle.reused(endpoint);
       return;
     }
-    const broke = result.kind === "unknown" && result.reason === "broken";
-    if (broke && restedMs !== undefined) this.#limits.lost(endpoint, restedMs);
+    const isBroken = result.kind === "unknown" && result.reason === "broken";
+    if (isBroken && idleMs !== undefined) this.#idle.lost(endpoint, idleMs);
   }
 }
 
-/** The length is stated, or the runtime would send the body in chunks. */
+/** Adds the length; without it Node.js would send the body in chunks. */
 function headersOf({ method, headers, body }: OutgoingRequest): string[] {
-  if (body === undefined && BODYLESS.has(method)) return headers;
+  if (body === undefined && BODYLESS_METHODS.has(method)) return headers;
   return [...headers, "Content-Length", String(body?.length ?? 0)];
 }
 
-function unsent(reason: string): Sending {
+function unsent(reason: string): PendingSend {
   return {
     result: Promise.resolve({ kind: "unsent", reason }),
     cancel: () => {},
--- a/src/edge/http_endpoint_sender_test.ts
+++ b/src/edge/http_endpoint_sender_test.ts
@@ -7,12 +7,12 @@
 import { PlainCodec } from "./testing/plain_codec.ts";
 import { endpointRow } from "./testing/traffic_fixtures.ts";
 
-/** What an endpoint does with a connection once a request came. */
+/** What an endpoint does with a connection on each request. */
 type Script = (socket: Socket, requests: number) => void;
 
 interface Endpoint {
   readonly address: string;
-  /** Connections it has taken. */
+  /** Number of accepted connections. */
   readonly connections: () => number;
   close(): void;
 }
@@ -21,10 +21,10 @@
   script: Script,
   onBytes: (chunk: Buffer) => void = () => {},
 ): Promise<Endpoint> {
-  let taken = 0;
+  let accepted = 0;
   const open = new Set<Socket>();
   const server = createServer((socket) => {
-    taken++;
+    accepted++;
     open.add(socket);
     let requests = 0;
     socket.on("error", () => {});
@@ -39,7 +39,7 @@
       const port = typeof address === "object" ? address?.port : 0;
       resolve({
         address: `127.0.0.1:${port}`,
-        connections: () => taken,
+        connections: () => accepted,
         close: () => {
           for (const socket of open) socket.destroy();
           server.close();
@@ -91,17 +91,17 @@
   readonly want: string;
 }[] = [
   {
-    name: "a whole answer with a length",
+    name: "a complete response with a length",
     script: (s) => s.write(answer("Content-Length: 2\r\n", "ab")),
     want: "answer ab",
   },
   {
-    name: "an answer that ends with its connection",
+    name: "a close-delimited response",
     script: (s) => s.end(answer("Connection: close\r\n", "ab")),
     want: "answer ab",
   },
   {
-    name: "an answer without a length whose connection is reset",
+    name: "a close-delimited response whose connection is reset",
     script: (s) => {
       s.write(answer("Connection: close\r\n", "ab"));
       setTimeout(() => s.resetAndDestroy(), 30);
@@ -109,12 +109,12 @@
     want: "unknown cut",
   },
   {
-    name: "an answer that closes before its length is reached",
+    name: "a response that closes before its length is reached",
     script: (s) => s.end(answer("Content-Length: 9\r\n", "ab")),
     want: "unknown cut",
   },
   {
-    name: "a chunked answer that closes between two chunks",
+    name: "a chunked response that closes between two chunks",
     script: (s) =>
       s.end(
         answer(
@@ -125,7 +125,7 @@
     want: "unknown cut",
   },
   {
-    name: "a chunked answer that is reset between two chunks",
+    name: "a chunked response that is reset between two chunks",
     script: (s) => {
       s.write(
         answer(
@@ -138,28 +138,28 @@
     want: "unknown cut",
   },
   {
-    name: "bytes that are no answer",
+    name: "bytes that are not an HTTP response",
     script: (s) => s.write("what is this\r\n\r\n"),
     want: "unknown malformed",
   },
   {
-    name: "the answer to another request",
+    name: "the response to another request",
     script: (s) => s.write(answer("Content-Length: 2\r\n", "ab", "q0")),
     want: "unknown foreign",
   },
   {
-    name: "a connection that closes without an answer",
+    name: "a connection that closes without a response",
     script: (s) => s.end(),
     want: "unknown broken",
   },
   {
-    name: "an endpoint that says it did not run the request",
+    name: "an endpoint that states that it did not run the request",
     script: (s) =>
       s.write("HTTP/1.1 503 No\r\nnot-run: 1\r\nContent-Length: 0\r\n\r\n"),
     want: "not-run",
   },
   {
-    name: "an address that another endpoint has",
+    name: "an address that another endpoint now has",
     script: (s) => s.write("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"),
     want: "not-run",
   },
@@ -167,13 +167,13 @@
 
 for (const { name, script, want } of CASES) {
   test(`${name}: ${want}`, async (t) => {
-    // Guards against half an answer, or another's, that reaches a caller.
+    // Guards against truncated or foreign responses that reach a caller.
     t.is(summary(await sendTo(script)), want);
   });
 }
 
-test("an endpoint that does not listen was sent nothing", async (t) => {
-  // Guards against a request that is not tried elsewhere though it never ran.
+test("a refused connection counts as not sent", async (t) => {
+  // Guards against no retry of a request that cannot have run.
   const gone = await listen(() => {});
   gone.close();
   const sender = new HttpEndpointSender(new PlainCodec(), new SystemClock());
@@ -183,8 +183,8 @@
   t.is(result.kind, "unsent");
 });
 
-test("bytes after a whole answer end the connection, and no request meets them", async (t) => {
-  // Guards against an extra answer that reaches the next caller.
+test("a connection with extra bytes after a response is not reused", async (t) => {
+  // Guards against a surplus response that reaches the next caller.
   const endpoint = await listen((socket) => {
     const whole = answer("Content-Length: 2\r\n", "ab");
     socket.write(whole + whole);
@@ -200,8 +200,8 @@
   t.is(endpoint.connections(), 2);
 });
 
-test("bytes that come while a connection is idle close it", async (t) => {
-  // Guards against late bytes that are read as the next request's answer.
+test("bytes on an idle connection close it", async (t) => {
+  // Guards against late bytes that are read as the next request's response.
   const endpoint = await listen((socket) => {
     socket.write(answer("Content-Length: 2\r\n", "ab"));
     setTimeout(() => socket.write("HTTP/1.1 200 O"), 10);
@@ -217,8 +217,8 @@
   t.is(endpoint.connections(), 2);
 });
 
-// Guards against a count of open requests that never goes down again.
-test("a request that cannot be written is not sent", async (t) => {
+// Guards against a counter of open requests that is never decremented.
+test("a request that Node.js rejects is not sent", async (t) => {
   const sender = new HttpEndpointSender(new PlainCodec(), new SystemClock());
   const row = endpointRow({ address: "127.0.0.1:1" });
   const sending = sender.send(row, { ...outgoing(), path: "/a b" });
@@ -226,7 +226,7 @@
   sender.close();
 });
 
-test("a request without a body states that it has none", async (t) => {
+test("a request without a body has a content length of 0", async (t) => {
   // Guards against a chunked body at endpoints that cannot read one.
   let head = "";
   const endpoint = await listen((socket) => {
@@ -241,7 +241,7 @@
   t.notRegex(head, /transfer-encoding/i);
 });
 
-test("a connection is used again after a whole answer", async (t) => {
+test("a connection is reused after a complete response", async (t) => {
   const endpoint = await listen((socket) =>
     socket.write(answer("Content-Length: 2\r\n", "ab"))
   );
@@ -254,8 +254,8 @@
   t.is(endpoint.connections(), 1);
 });
 
-test("a request that is cancelled closes its connection at the endpoint", async (t) => {
-  // Guards against endpoints that work for callers who have left.
+test("cancelling a request closes its connection", async (t) => {
+  // Guards against endpoints that work for callers that disconnected.
   let closed: () => void;
   const seen = new Promise<void>((resolve) => closed = resolve);
   const endpoint = await listen((socket) => {
@@ -273,7 +273,7 @@
   t.deepEqual(result, { kind: "cancelled", sent: true });
 });
 
-test("a long answer is passed on piece by piece, as fast as it is taken", async (t) => {
+test("a long response is streamed with backpressure", async (t) => {
   const piece = Buffer.alloc(65_536, "x");
   const pieces = 8;
   const endpoint = await listen((socket) => {
@@ -288,11 +288,11 @@
   if (result.kind !== "answer") return;
   let bytes = result.body.bytes.length;
   await new Promise<void>((resolve) => {
-    const { rest } = result.body;
-    rest?.pipe({
+    const { remainder } = result.body;
+    remainder?.pipe({
       data: (chunk) => {
         bytes += chunk.length;
-        setTimeout(() => rest.resume(), 1);
+        setTimeout(() => remainder.resume(), 1);
         return false;
       },
       end: resolve,
@@ -304,8 +304,8 @@
   t.is(bytes, piece.length * pieces);
 });
 
-test("an endpoint that forgets idle connections loses one request, not one each time", async (t) => {
-  // Guards against requests lost on connections that were forgotten while idle.
+test("an endpoint that drops idle connections fails only one request", async (t) => {
+  // Guards against repeated failures on connections dropped while idle.
   const endpoint = await listen((socket, requests) => {
     if (requests === 1) socket.write(answer("content-length: 2\r\n", "ok"));
     else socket.resetAndDestroy();
@@ -329,8 +329,8 @@
   ]);
 });
 
-test("a connection rests as long as its endpoint says, less a margin", async (t) => {
-  // Guards against a new connection for each request of a slow trickle.
+test("a connection is reused within the keep-alive timeout less a margin", async (t) => {
+  // Guards against a new connection for each request at a low request rate.
   const endpoint = await listen((socket) => {
     const head = "keep: 10000\r\ncontent-length: 2\r\n";
     socket.write(answer(head, "ok"));
--- a/src/edge/instance_list.ts
+++ b/src/edge/instance_list.ts
@@ -1,5 +1,5 @@
 /**
- * The list of instances that stands in the store, and joining it.
+ * The instance list in the store, and joining it.
  *
  * @module
  */
@@ -8,9 +8,9 @@
 import { sleep } from "../core/mod.ts";
 import type { FleetMember, InstanceProfile } from "../fleet/mod.ts";
 
-/** Where instances find each other. */
+/** List through which instances discover each other. */
 export interface InstanceList {
-  /** Puts this instance on the list, in place of what it said before. */
+  /** Registers this instance, replacing its previous entry. */
   announce(
     profile: InstanceProfile,
     signal: AbortSignal,
@@ -20,12 +20,13 @@
   ): Promise<Result<readonly InstanceProfile[], Failure>>;
 }
 
-/** Between two attempts to join while the store does not answer, in ms. */
-const PAUSE_MS = 1_000;
+/** Mean interval between attempts to join, in milliseconds. */
+const RETRY_INTERVAL_MS = 1_000;
 
 /**
- * Puts an instance on the list and then reads it, until both are done. In this
- * order, of two instances that start together at least one reads the other.
+ * Registers an instance and then reads the list, and retries until both succeed.
+ * The order ensures that of two instances that start together at least one reads
+ * the other.
  */
 export async function joinList(
   list: InstanceList,
@@ -51,6 +52,6 @@
       return;
     }
     log.event("instances_unlisted", { code: read.error.code });
-    await sleep(clock, PAUSE_MS * (0.5 + random.next()));
+    await sleep(clock, RETRY_INTERVAL_MS * (0.5 + random.next()));
   }
 }
--- a/src/edge/listening.ts
+++ b/src/edge/listening.ts
@@ -1,5 +1,5 @@
 /**
- * Opening and closing the listeners of an instance.
+ * Opens and closes listeners.
  *
  * @module
  */
@@ -8,9 +8,10 @@
 import { splitAddress } from "../fleet/mod.ts";
 
 /**
- * Listens at host and port; rejects where that cannot be had.
+ * Listens at host and port; rejects if the address is not available.
  *
- * @param backlog Connections that may wait to be accepted, if not the usual.
+ * @param backlog Connections that may wait to be accepted; Node.js default if
+ * omitted.
  */
 export function listenAt(
   server: SocketServer,
@@ -27,12 +28,12 @@
   });
 }
 
-/** The port at which a server listens. */
+/** The port on which a server listens. */
 export function boundPort(server: SocketServer): number {
   return (server.address() as AddressInfo).port;
 }
 
-/** Closes a server and every connection to it at once. */
+/** Closes a server and all its connections immediately. */
 export function closeAtOnce(server: Server): Promise<void> {
   const closed = new Promise<void>((resolve) => {
     server.close(() => resolve());
--- a/src/edge/mod.ts
+++ b/src/edge/mod.ts
@@ -1,6 +1,6 @@
 /**
- * The composition for a platform on which endpoints register themselves and
- * operators write one plan: every instance sends to every endpoint.
+ * Deployment mode in which endpoints register themselves, operators write one
+ * plan, and every instance sends to every endpoint.
  *
  * @module
  */
--- a/src/edge/peer_load.ts
+++ b/src/edge/peer_load.ts
@@ -1,51 +1,50 @@
 /**
- * Requests of other instances in flight at endpoints, as last reported.
+ * In-flight requests of other instances per endpoint, as last reported.
  *
  * @module
  */
 import type { EndpointId, InstanceId } from "../core/mod.ts";
 import type { EndpointRow } from "../traffic/mod.ts";
 
-/** Requests in flight by endpoint; none where there is no entry. */
-export type InFlight = ReadonlyMap<EndpointId, number>;
+/** In-flight requests by endpoint; zero if there is no entry. */
+export type InFlightCounts = ReadonlyMap<EndpointId, number>;
 
-/** Finds an endpoint's row. */
-export type RowOf = (endpoint: EndpointId) => EndpointRow | undefined;
+export type EndpointLookup = (endpoint: EndpointId) => EndpointRow | undefined;
 
 /**
- * Sums reports for the endpoints' rows, by their differences.
+ * Keeps totals per endpoint by applying the difference of each report.
  *
- * Load: summed anew with each report, the cost grows with the square of the
- * fleet.
+ * Load: recomputing the totals for each report would cost the square of the
+ * fleet size.
  */
 export class PeerLoad {
-  readonly #reported = new Map<InstanceId, InFlight>();
-  readonly #sums = new Map<EndpointId, number>();
-  readonly #rowOf: RowOf;
+  readonly #reported = new Map<InstanceId, InFlightCounts>();
+  readonly #totals = new Map<EndpointId, number>();
+  readonly #rowOf: EndpointLookup;
 
-  constructor(rowOf: RowOf) {
+  constructor(rowOf: EndpointLookup) {
     this.#rowOf = rowOf;
   }
 
-  /** Takes in the report of a group: an instance, a zone, or the fleet. */
-  reported(group: InstanceId, inFlight: InFlight): void {
-    this.unreachable(group);
+  /** Applies the report of a group: an instance, a zone, or the fleet. */
+  reported(group: InstanceId, inFlight: InFlightCounts): void {
+    this.remove(group);
     this.#reported.set(group, inFlight);
     for (const [endpoint, n] of inFlight) this.#add(endpoint, n);
   }
 
-  /** Leaves out a group that is unreachable. */
-  unreachable(group: InstanceId): void {
+  /** Removes a group from the totals. */
+  remove(group: InstanceId): void {
     for (const [endpoint, n] of this.#reported.get(group) ?? []) {
       this.#add(endpoint, -n);
     }
     this.#reported.delete(group);
   }
 
-  #add(endpoint: EndpointId, more: number): void {
-    const sum = (this.#sums.get(endpoint) ?? 0) + more;
-    if (sum > 0) this.#sums.set(endpoint, sum);
-    else this.#sums.delete(endpoint);
+  #add(endpoint: EndpointId, delta: number): void {
+    const sum = (this.#totals.get(endpoint) ?? 0) + delta;
+    if (sum > 0) this.#totals.set(endpoint, sum);
+    else this.#totals.delete(endpoint);
     const row = this.#rowOf(endpoint);
     if (row !== undefined) row.peersInFlight = Math.max(0, sum);
   }
--- a/src/edge/peer_snapshots.ts
+++ b/src/edge/peer_snapshots.ts
@@ -1,8 +1,8 @@
 /**
- * All objects of a kind, fetched from another instance.
+ * Fetches all objects of a kind from another instance.
  *
- * It serves an instance that missed a change, for less than a call to the
- * store, and one that starts while the store is away.
+ * Used by an instance that missed a change, at a lower cost than a call to the
+ * store, and by one that starts while the store is unavailable.
  *
  * @module
  */
@@ -21,41 +21,40 @@
 import type { RelayedSnapshot } from "../watcher/mod.ts";
 import type { PlainAnswer } from "./plain_server.ts";
 
-/** How long a fetch may take, in milliseconds: some 200 KB on a small link. */
-const FETCH_MS = 800;
-/** Instances that are tried. */
-const TRIED = 2;
-const PATH = "/kinds/";
+/** Timeout of a fetch, in milliseconds: about 200 KB over a slow link. */
+const FETCH_TIMEOUT_MS = 800;
+const MAX_PEERS = 2;
+const PATH_PREFIX = "/kinds/";
 
-/** Where an instance serves snapshots: the port beside that for digests. */
+/** The address for snapshots: one port above that for digests. */
 export function snapshotAddress(digestAddress: string): string {
   const { host, port } = splitAddress(digestAddress);
   return `${host}:${port + 1}`;
 }
 
-/** Answers another instance's question for a kind. */
-export function answerSnapshot(
+/** Handles a peer's request for a snapshot of a kind. */
+export function serveSnapshot(
   url: string,
   snapshotOf: (kind: string) => RelayedSnapshot | undefined,
 ): PlainAnswer {
-  if (!url.startsWith(PATH)) return { status: 404 };
-  const snapshot = snapshotOf(url.slice(PATH.length));
+  if (!url.startsWith(PATH_PREFIX)) return { status: 404 };
+  const snapshot = snapshotOf(url.slice(PATH_PREFIX.length));
   if (snapshot === undefined) return { status: 503 };
   const body = packJson(snapshot);
   return { status: 200, contentType: "application/octet-stream", body };
 }
 
-/** Fetches snapshots. */
+/** Fetches snapshots from peers. */
 export class PeerSnapshots {
   readonly #random: Random;
-  readonly #calls = new HttpCalls(FETCH_MS);
+  readonly #calls = new HttpCalls(FETCH_TIMEOUT_MS);
 
   constructor(random: Random) {
     this.#random = random;
   }
 
   /**
-   * Asks instances that know enough, one after another.
+   * Tries up to `MAX_PEERS` of the given instances, one after another.
    *
    * Errors: `peer_unavailable`.
    */
@@ -64,19 +63,19 @@
     from: readonly InstanceProfile[],
     signal: AbortSignal,
   ): Promise<Result<RelayedSnapshot, Failure>> {
-    for (const profile of someOf(from, TRIED, this.#random)) {
-      const snapshot = await this.#ask(kind, profile, signal);
+    for (const profile of someOf(from, MAX_PEERS, this.#random)) {
+      const snapshot = await this.#fetchFrom(kind, profile, signal);
       if (snapshot !== undefined) return ok(snapshot);
     }
-    return fail("peer_unavailable", "no instance told what it knows");
+    return fail("peer_unavailable", "no peer returned a snapshot");
   }
 
   close(): void {
     this.#calls.close();
   }
 
-  /** Undefined where there is no answer; another one is asked then. */
-  async #ask(
+  /** Undefined if the instance returned no snapshot. */
+  async #fetchFrom(
     kind: string,
     { digestAddress }: InstanceProfile,
     signal: AbortSignal,
@@ -85,8 +84,8 @@
       const { status, body } = await this.#calls.call({
         ...splitAddress(snapshotAddress(digestAddress)),
         method: "GET",
-        path: PATH + kind,
-        timeoutMs: FETCH_MS,
+        path: PATH_PREFIX + kind,
+        timeoutMs: FETCH_TIMEOUT_MS,
         signal,
       });
       return status === 200 ? readSnapshot(body) : undefined;
@@ -99,6 +98,6 @@
 function readSnapshot(bytes: Buffer): RelayedSnapshot | undefined {
   const snapshot = unpackJson(bytes) as RelayedSnapshot;
   const { revision, changedAt, objects, holdMs } = snapshot;
-  const figures = [revision, changedAt, holdMs].every(Number.isFinite);
-  return figures && Array.isArray(objects) ? snapshot : undefined;
+  const areNumbers = [revision, changedAt, holdMs].every(Number.isFinite);
+  return areNumbers && Array.isArray(objects) ? snapshot : undefined;
 }
--- a/src/edge/plain_server.ts
+++ b/src/edge/plain_server.ts
@@ -1,6 +1,5 @@
 /**
- * A small listener for questions that are answered at once: readiness, the
- * directory, metrics.
+ * A small HTTP server for readiness, directory, metrics and snapshots.
  *
  * @module
  */
@@ -8,20 +7,20 @@
 import { createServer, type Server } from "node:http";
 import { closeAtOnce, listenAt } from "./listening.ts";
 
-/** An answer held in memory. */
+/** A response held in memory. */
 export interface PlainAnswer {
   readonly status: number;
   readonly contentType?: string;
   readonly body?: string | Buffer;
 }
 
-/** Answers a method and a URL. */
+/** Handles a method and a URL. */
 export type PlainHandler = (
   method: string,
   url: string,
 ) => PlainAnswer | Promise<PlainAnswer>;
 
-/** A listener with one handler. */
+/** An HTTP server with one handler. */
 export class PlainServer {
   readonly #server: Server;
 
--- a/src/edge/request_context.ts
+++ b/src/edge/request_context.ts
@@ -8,15 +8,15 @@
 import type { Account, EndpointRow, Route } from "../traffic/mod.ts";
 import type { CallerFields, RawHeaders } from "./request_codec.ts";
 
-/** A caller's request, read to its end. */
+/** A caller's request with its complete body. */
 export interface CallerRequest {
   readonly method: string;
   readonly headers: RawHeaders;
   readonly fields: CallerFields;
   readonly body: Buffer | undefined;
-  /** When its first bytes came, on the instance's clock. */
+  /** When its header arrived, on the instance's clock. */
   readonly arrivedAt: number;
-  /** Ends when the caller has gone. */
+  /** Aborted when the caller disconnects. */
   readonly signal: CancelSignal;
 }
 
@@ -26,14 +26,14 @@
   readonly route: Route;
   readonly account: Account | undefined;
   readonly service: ServiceId;
-  /** Regions that may serve it; all if undefined. */
+  /** Regions allowed to serve it; all if undefined. */
   readonly regions: ReadonlySet<RegionId> | undefined;
-  /** When the caller or the route gives up, on the instance's clock. */
+  /** When the response is due, on the instance's clock. */
   readonly deadline: number;
   readonly planVersion: number;
-  /** Endpoints it was sent to. */
+  /** Endpoints that were tried. */
   readonly tried: Set<EndpointRow>;
-  /** Why the last of them was chosen. */
+  /** Why the last endpoint was chosen. */
   chosenBy: string;
   /** Whether an endpoint may have run it. */
   mayHaveRun: boolean;
--- a/src/edge/request_flow.ts
+++ b/src/edge/request_flow.ts
@@ -1,5 +1,5 @@
 /**
- * Pipeline of one request: admission, attempts at endpoints, answer.
+ * Pipeline of one request: admission, attempts at endpoints, response.
  *
  * @module
  */
@@ -14,42 +14,45 @@
 import type { EndpointRow } from "../traffic/mod.ts";
 import { type Admission, clientTimeoutOf } from "./admission.ts";
 import type { EndpointChooser } from "./endpoint_chooser.ts";
-import type { EndpointSender, Sending, SendResult } from "./endpoint_sender.ts";
+import type {
+  EndpointSender,
+  PendingSend,
+  SendResult,
+} from "./endpoint_sender.ts";
 import type { AccessLog } from "./access_log.ts";
 import type { RequestCodec } from "./request_codec.ts";
 import type { CallerRequest, RequestContext } from "./request_context.ts";
 
-/** An endpoint's answer. */
-type Answer = Extract<SendResult, { kind: "answer" }>;
+type EndpointResponse = Extract<SendResult, { kind: "answer" }>;
 
-/** What the caller is answered. */
-export type FlowAnswer =
-  | Answer
+/** Result for the caller. */
+export type FlowResult =
+  | EndpointResponse
   | { readonly kind: "refusal"; readonly failure: Failure }
-  /** The caller has gone; there is nobody to answer. */
+  /** The caller has disconnected; no response is sent. */
   | { readonly kind: "gone" };
 
-/** What the flow works with. */
+/** Dependencies of the flow. */
 export interface RequestFlowOptions {
-  /** Open once the instance has a plan and the endpoints. */
+  /** Opens once the plan and the endpoints are loaded. */
   readonly gate: StartGate;
   readonly admission: Admission;
   readonly chooser: EndpointChooser;
   readonly sender: EndpointSender;
   readonly codec: RequestCodec;
   readonly retries: SharedRetryBudget;
-  /** Instances that may be sending, this one included. */
+  /** Number of instances in the fleet, including this one. */
   readonly fleetSize: () => number;
   readonly accessLog: AccessLog;
   readonly clock: Clock;
 }
 
-/** With less time left than this no endpoint can answer, in milliseconds. */
-const LEAST_LEFT_MS = 5;
-/** Statuses by which a caller is promised that its request did not run. */
-const PROMISE_NOT_RUN: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Minimum time left for an endpoint to respond, in milliseconds. */
+const MIN_LEFT_MS = 5;
+/** Statuses from which a caller concludes that its request did not run. */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
-/** Serves requests at one instance. */
+/** Serves the requests of one instance. */
 export class RequestFlow {
   readonly #opts: RequestFlowOptions;
 
@@ -58,7 +61,7 @@
   }
 
   /** Serves a request; never throws. */
-  async handle(req: CallerRequest): Promise<FlowAnswer> {
+  async handle(req: CallerRequest): Promise<FlowResult> {
     const { gate, admission, retries, clock } = this.#opts;
     if (!gate.isOpen) {
       await gate.wait({
@@ -74,21 +77,21 @@
     return await this.#serve(ctx);
   }
 
-  /** Sends the request to one endpoint after another until one answers. */
-  async #serve(ctx: RequestContext): Promise<FlowAnswer> {
+  /** Tries endpoints one after another until there is a result. */
+  async #serve(ctx: RequestContext): Promise<FlowResult> {
     const { clock, chooser } = this.#opts;
     for (;;) {
       const now = clock.now();
-      if (ctx.req.signal.aborted) return this.#gone(ctx);
-      if (ctx.deadline - now < LEAST_LEFT_MS) return this.#late(ctx);
+      if (ctx.req.signal.aborted) return this.#callerGone(ctx);
+      if (ctx.deadline - now < MIN_LEFT_MS) return this.#refuseExpired(ctx);
       const chosen = chooser.choose(ctx, now);
       if (chosen.isErr()) {
         const { code, message, retryAfterMs } = chosen.error;
-        return this.#unserved(ctx, code, message, retryAfterMs);
+        return this.#refuseUnserved(ctx, code, message, retryAfterMs);
       }
       const result = await this.#send(ctx, chosen.value);
-      const answer = this.#settle(ctx, chosen.value, result);
-      if (answer !== undefined) return answer;
+      const outcome = this.#handleResult(ctx, chosen.value, result);
+      if (outcome !== undefined) return outcome;
     }
   }
 
@@ -109,15 +112,18 @@
       body: req.body,
       requestId: req.fields.requestId,
     });
-    const result = await this.#await(sending, ctx);
+    const result = await this.#awaitResult(sending, ctx);
     const now = clock.now();
-    chooser.learn(endpoint, result, { tookMs: now - sentAt, now });
+    chooser.recordResult(endpoint, result, { tookMs: now - sentAt, now });
     accessLog.tried(endpoint, now - sentAt);
     return result;
   }
 
-  /** Waits for the result, the deadline, or the caller's leaving. */
-  async #await(sending: Sending, ctx: RequestContext): Promise<SendResult> {
+  /** Waits for the result; cancels at the deadline or on disconnect. */
+  async #awaitResult(
+    sending: PendingSend,
+    ctx: RequestContext,
+  ): Promise<SendResult> {
     const { clock } = this.#opts;
     const { signal } = ctx.req;
     const cancel = () => sending.cancel();
@@ -129,120 +135,132 @@
     return result;
   }
 
-  /** The answer to the caller, or undefined where another endpoint is tried. */
-  #settle(
+  /** The result for the caller; undefined if another endpoint is to be tried. */
+  #handleResult(
     ctx: RequestContext,
     endpoint: EndpointRow,
     result: SendResult,
-  ): FlowAnswer | undefined {
+  ): FlowResult | undefined {
     switch (result.kind) {
       case "answer":
-        return this.#settleAnswer(ctx, endpoint, result);
+        return this.#handleResponse(ctx, endpoint, result);
       case "unsent":
       case "not-run":
-        if (this.#mayTryElsewhere(ctx)) return undefined;
-        return this.#turnedAway(ctx, endpoint);
+        if (this.#takeRetry(ctx)) return undefined;
+        return this.#refuseShed(ctx, endpoint);
       case "unknown":
         ctx.mayHaveRun = true;
-        if (this.#mayRepeat(ctx)) return undefined;
-        return this.#failed(ctx, `the endpoint's answer is ${result.reason}`);
+        if (this.#takeRetryIfIdempotent(ctx)) return undefined;
+        return this.#refuseFailed(
+          ctx,
+          `the endpoint's response was ${result.reason}`,
+        );
       case "cancelled":
         if (result.sent) ctx.mayHaveRun = true;
-        return ctx.req.signal.aborted ? this.#gone(ctx) : this.#late(ctx);
+        return ctx.req.signal.aborted
+          ? this.#callerGone(ctx)
+          : this.#refuseExpired(ctx);
     }
   }
 
-  /** Passes an answer on, unless another endpoint may do better. */
-  #settleAnswer(
+  /** Passes a response on, unless it is invalid or failed and can be retried. */
+  #handleResponse(
     ctx: RequestContext,
     endpoint: EndpointRow,
-    answer: Answer,
-  ): FlowAnswer | undefined {
-    const fault = faultOf(answer);
-    if (answer.status < 500 && fault === undefined) {
-      return this.#answered(ctx, endpoint, answer);
+    response: EndpointResponse,
+  ): FlowResult | undefined {
+    const invalid = invalidReason(response);
+    if (response.status < 500 && invalid === undefined) {
+      return this.#passOn(ctx, endpoint, response);
     }
     ctx.mayHaveRun = true;
-    const again = this.#mayRepeat(ctx);
-    if (!again && fault === undefined) {
-      return this.#answered(ctx, endpoint, answer);
+    const retry = this.#takeRetryIfIdempotent(ctx);
+    if (!retry && invalid === undefined) {
+      return this.#passOn(ctx, endpoint, response);
     }
-    answer.body.rest?.cancel();
-    return again ? undefined : this.#failed(ctx, fault ?? "it failed");
+    response.body.remainder?.cancel();
+    return retry
+      ? undefined
+      : this.#refuseFailed(ctx, invalid ?? "the endpoint failed");
   }
 
-  /** Whether a request that may have run can be sent to another endpoint. */
-  #mayRepeat(ctx: RequestContext): boolean {
-    return ctx.route.idempotent && this.#mayTryElsewhere(ctx);
+  /** Takes a retry for a request that may have run. */
+  #takeRetryIfIdempotent(ctx: RequestContext): boolean {
+    return ctx.route.idempotent && this.#takeRetry(ctx);
   }
 
-  #mayTryElsewhere(ctx: RequestContext): boolean {
+  /** Takes a retry if attempts, the deadline and the retry budget allow one. */
+  #takeRetry(ctx: RequestContext): boolean {
     const { retries, clock, fleetSize } = this.#opts;
     const { tried, route, service, deadline } = ctx;
     if (tried.size >= route.maxAttempts) return false;
     const now = clock.now();
-    if (deadline - now < LEAST_LEFT_MS) return false;
+    if (deadline - now < MIN_LEFT_MS) return false;
     return retries.take(service, { instances: fleetSize() }, now);
   }
 
-  #answered(
+  #passOn(
     ctx: RequestContext,
     endpoint: EndpointRow,
-    answer: Answer,
-  ): FlowAnswer {
-    this.#opts.accessLog.answered(ctx, endpoint, answer.status);
-    return answer;
+    response: EndpointResponse,
+  ): FlowResult {
+    this.#opts.accessLog.answered(ctx, endpoint, response.status);
+    return response;
   }
 
-  #gone(ctx: RequestContext): FlowAnswer {
+  #callerGone(ctx: RequestContext): FlowResult {
     this.#opts.accessLog.gone(ctx);
     return { kind: "gone" };
   }
 
-  /** The last endpoint did not run the request, and no other is tried. */
-  #turnedAway(ctx: RequestContext, endpoint: EndpointRow): FlowAnswer {
+  /** Refuses a request that the last endpoint shed or did not receive. */
+  #refuseShed(ctx: RequestContext, endpoint: EndpointRow): FlowResult {
     const { chooser, clock } = this.#opts;
-    const retryAfterMs = chooser.shedRetryMs(ctx, endpoint, clock.now());
-    const why = "the endpoints turned the request away";
-    return this.#unserved(ctx, "no_capacity", why, retryAfterMs);
+    const retryAfterMs = chooser.retryAfterShedMs(ctx, endpoint, clock.now());
+    const why = "the endpoints tried did not take the request";
+    return this.#refuseUnserved(ctx, "no_capacity", why, retryAfterMs);
   }
 
-  /** No endpoint takes the request; what is said of it is what is known. */
-  #unserved(
+  /** Refuses a request; its outcome is unknown if an endpoint may have run it. */
+  #refuseUnserved(
     ctx: RequestContext,
     code: Failure["code"],
     why: string,
     retryAfterMs: number | undefined,
-  ): FlowAnswer {
-    if (ctx.mayHaveRun) return this.#failed(ctx, why);
+  ): FlowResult {
+    if (ctx.mayHaveRun) return this.#refuseFailed(ctx, why);
     const details: FailureDetails = retryAfterMs === undefined
       ? { outcome: "not-run" }
       : { outcome: "not-run", retryAfterMs };
     return this.#refuse(ctx.req, failure(code, why, details), ctx);
   }
 
-  #failed(ctx: RequestContext, why: string): FlowAnswer {
+  #refuseFailed(ctx: RequestContext, why: string): FlowResult {
     const failed = failure("endpoint_failed", why, { outcome: "unknown" });
     return this.#refuse(ctx.req, failed, ctx);
   }
 
-  #late(ctx: RequestContext): FlowAnswer {
+  #refuseExpired(ctx: RequestContext): FlowResult {
     const outcome = ctx.mayHaveRun ? "unknown" : "not-run";
-    const late = failure("deadline_exceeded", "the time is up", { outcome });
-    return this.#refuse(ctx.req, late, ctx);
+    const expired = failure("deadline_exceeded", "the deadline has passed", {
+      outcome,
+    });
+    return this.#refuse(ctx.req, expired, ctx);
   }
 
-  #refuse(req: CallerRequest, why: Failure, ctx?: RequestContext): FlowAnswer {
+  #refuse(req: CallerRequest, why: Failure, ctx?: RequestContext): FlowResult {
     this.#opts.accessLog.refused(req, why, ctx);
     return { kind: "refusal", failure: why };
   }
 }
 
-/** Why an answer cannot be passed on; undefined where it can. */
-function faultOf({ status, fields }: Answer): string | undefined {
-  if (status < 300 && !fields.signed) return "the answer is not signed";
-  // The endpoint did not say that it did not run the request, so the caller
-  // must not read that from the status.
-  if (PROMISE_NOT_RUN.has(status)) return `the endpoint answered ${status}`;
+/** Why a response cannot be passed on; undefined if it can. */
+function invalidReason(
+  { status, fields }: EndpointResponse,
+): string | undefined {
+  if (status < 300 && !fields.signed) return "the response is not signed";
+  // The endpoint did not state that the request did not run, so the caller must
+  // not conclude that from the status.
+  if (NOT_RUN_STATUSES.has(status)) return `the endpoint sent status ${status}`;
   return undefined;
 }
--- a/src/edge/request_flow_test.ts
+++ b/src/edge/request_flow_test.ts
@@ -21,9 +21,9 @@
 import { AccessLog } from "./access_log.ts";
 import type { SendResult } from "./endpoint_sender.ts";
 import type { AnswerLimit, CallerFields } from "./request_codec.ts";
-import { type FlowAnswer, RequestFlow } from "./request_flow.ts";
+import { type FlowResult, RequestFlow } from "./request_flow.ts";
 import { PlainCodec } from "./testing/plain_codec.ts";
-import { answered, ScriptedSender, shed } from "./testing/scripted_sender.ts";
+import { responded, ScriptedSender, shed } from "./testing/scripted_sender.ts";
 import { account, endpoint, plan, route } from "./testing/traffic_fixtures.ts";
 import { TrafficState } from "./traffic_state.ts";
 
@@ -37,8 +37,8 @@
   readonly sender?: ScriptedSender;
 }
 
-/** One instance's request path, without listeners. */
-class Path {
+/** The request path of one instance, without listeners. */
+class RequestPath {
   readonly clock = new ManualClock();
   readonly state: TrafficState;
   readonly sender: ScriptedSender;
@@ -62,7 +62,7 @@
     }
     const fleetSize = () => 1;
     const quotas = new AccountQuotas("i1" as InstanceId, { fleetSize });
-    quotas.adopt(this.state.table?.plan.accounts ?? [], 0);
+    quotas.adopt(this.state.routeTable?.plan.accounts ?? [], 0);
     const limits = new EndpointLimits({
       own: "i1" as InstanceId,
       demand: quotas.demand,
@@ -106,7 +106,7 @@
     });
   }
 
-  /** A period of gossip passes. */
+  /** Runs one gossip period. */
   tick(): void {
     this.#quotas.tick(this.clock.now());
   }
@@ -117,7 +117,7 @@
       .filter((id) => this.#limits.limitOf(id) !== undefined);
   }
 
-  ask(fields: Partial<CallerFields> = {}): Promise<FlowAnswer> {
+  send(fields: Partial<CallerFields> = {}): Promise<FlowResult> {
     return this.#flow.handle({
       method: "GET",
       headers: [],
@@ -137,15 +137,15 @@
   }
 }
 
-/** The answer as one text. */
-function outcomeOf(answer: FlowAnswer): string {
+/** The result as text. */
+function outcomeOf(answer: FlowResult): string {
   if (answer.kind === "answer") return `answer ${answer.status}`;
   if (answer.kind === "gone") return "gone";
   const { code, outcome } = answer.failure;
   return outcome === undefined ? code : `${code} ${outcome}`;
 }
 
-const ONCE = { plan: { routes: [route({ idempotent: false })] } };
+const NOT_IDEMPOTENT = { plan: { routes: [route({ idempotent: false })] } };
 
 const CASES: readonly {
   readonly name: string;
@@ -154,31 +154,34 @@
   readonly sends: number;
 }[] = [
   {
-    name: "an endpoint sheds a request that may run once; another takes it",
-    setup: () => ({ ...ONCE, sender: new ScriptedSender(shed(), answered()) }),
+    name: "an endpoint sheds a request that may run once; another serves it",
+    setup: () => ({
+      ...NOT_IDEMPOTENT,
+      sender: new ScriptedSender(shed(), responded()),
+    }),
     want: "answer 200",
     sends: 2,
   },
   {
-    name: "an endpoint cannot be reached; another takes the request",
+    name: "an endpoint is unreachable; another serves the request",
     setup: () => ({
-      ...ONCE,
+      ...NOT_IDEMPOTENT,
       sender: new ScriptedSender({ kind: "unsent", reason: "refused" }),
     }),
     want: "answer 200",
     sends: 2,
   },
   {
-    name: "a connection breaks under a request that may run once",
+    name: "a connection breaks during a request that may run once",
     setup: () => ({
-      ...ONCE,
+      ...NOT_IDEMPOTENT,
       sender: new ScriptedSender({ kind: "unknown", reason: "broken" }),
     }),
     want: "endpoint_failed unknown",
     sends: 1,
   },
   {
-    name: "a connection breaks under a request that may be repeated",
+    name: "a connection breaks during an idempotent request",
     setup: () => ({
       sender: new ScriptedSender({ kind: "unknown", reason: "broken" }),
     }),
@@ -186,28 +189,31 @@
     sends: 2,
   },
   {
-    name: "an endpoint fails a request that may be repeated",
-    setup: () => ({ sender: new ScriptedSender(answered(500)) }),
+    name: "an endpoint fails an idempotent request",
+    setup: () => ({ sender: new ScriptedSender(responded(500)) }),
     want: "answer 200",
     sends: 2,
   },
   {
     name: "an endpoint fails a request that may run once",
-    setup: () => ({ ...ONCE, sender: new ScriptedSender(answered(500)) }),
+    setup: () => ({
+      ...NOT_IDEMPOTENT,
+      sender: new ScriptedSender(responded(500)),
+    }),
     want: "answer 500",
     sends: 1,
   },
   {
-    name: "all endpoints fail a request; the last answer is passed on",
+    name: "all endpoints fail a request; the last response is passed on",
     setup: () => ({
-      sender: new ScriptedSender(answered(500), answered(500)),
+      sender: new ScriptedSender(responded(500), responded(500)),
     }),
     want: "answer 500",
     sends: 2,
   },
   {
-    name: "a request ran badly, then was shed: nobody says it did not run",
-    setup: () => ({ sender: new ScriptedSender(answered(500), shed()) }),
+    name: "a request that failed and then was shed has an unknown outcome",
+    setup: () => ({ sender: new ScriptedSender(responded(500), shed()) }),
     want: "endpoint_failed unknown",
     sends: 2,
   },
@@ -218,17 +224,20 @@
     sends: 2,
   },
   {
-    name: "a success that is not signed",
+    name: "a success without a signature",
     setup: () => ({
-      ...ONCE,
-      sender: new ScriptedSender(answered(200, { signed: false })),
+      ...NOT_IDEMPOTENT,
+      sender: new ScriptedSender(responded(200, { signed: false })),
     }),
     want: "endpoint_failed unknown",
     sends: 1,
   },
   {
-    name: "a status that promises what the endpoint did not say",
-    setup: () => ({ ...ONCE, sender: new ScriptedSender(answered(503)) }),
+    name: "a status that implies an unstated not-run",
+    setup: () => ({
+      ...NOT_IDEMPOTENT,
+      sender: new ScriptedSender(responded(503)),
+    }),
     want: "endpoint_failed unknown",
     sends: 1,
   },
@@ -248,13 +257,13 @@
     sends: 0,
   },
   {
-    name: "endpoints that drain get nothing new",
+    name: "draining endpoints get no new requests",
     setup: () => ({ endpoints: [{ draining: true }] }),
     want: "no_endpoint not-run",
     sends: 0,
   },
   {
-    name: "regions in which neither route nor account may be served",
+    name: "route and account have no allowed region in common",
     setup: () => ({
       plan: {
         routes: [route({ allowedRegions: [R1] })],
@@ -268,261 +277,266 @@
 
 for (const { name, setup, want, sends } of CASES) {
   test(`${name}: ${want}`, async (t) => {
-    // Endpoints fail in every way while callers wait. Each caller is to be
-    // served if that can be done without running its request twice, and else
-    // told no more than is known.
-    const path = new Path(setup());
-    t.is(outcomeOf(await path.ask()), want);
+    // Guards against requests that run twice, and against an outcome reported to
+    // the caller that is not certain.
+    const path = new RequestPath(setup());
+    t.is(outcomeOf(await path.send()), want);
     t.is(path.sender.sent.length, sends);
     const names = path.sender.sent.map((s) => s.endpoint);
     t.is(new Set(names).size, names.length);
   });
 }
 
-test("a key that is not known is refused, and one that was withdrawn too", async (t) => {
-  // An operator takes a key away while its caller is connected. The caller's
-  // next request must not run.
-  const path = new Path();
-  t.is(outcomeOf(await path.ask({ key: "other" })), "unauthenticated");
-  t.is(outcomeOf(await path.ask()), "answer 200");
+test("unknown and removed API keys are refused", async (t) => {
+  // An operator removes a key while its caller is connected. The caller's next
+  // request must not run.
+  const path = new RequestPath();
+  t.is(outcomeOf(await path.send({ key: "other" })), "unauthenticated");
+  t.is(outcomeOf(await path.send()), "answer 200");
   path.state.adopt(plan({ version: 2, accounts: [account({ keys: [] })] }));
-  t.is(outcomeOf(await path.ask()), "unauthenticated");
+  t.is(outcomeOf(await path.send()), "unauthenticated");
 });
 
-test("an older plan does not take the place of a newer one", async (t) => {
-  // A store that is read late hands out a plan that callers have seen replaced.
-  const path = new Path({ plan: { version: 5 } });
+test("an older plan does not replace a newer one", async (t) => {
+  // A stale read of the store returns a plan that was already replaced.
+  const path = new RequestPath({ plan: { version: 5 } });
   t.false(path.state.adopt(plan({ version: 4, routes: [] })));
-  t.is(outcomeOf(await path.ask()), "answer 200");
+  t.is(outcomeOf(await path.send()), "answer 200");
 });
 
-test("an instance without a plan says that it is not ready", async (t) => {
-  // It has just started and the store does not answer. Told that there is no
-  // such route, its callers would not come back.
-  const path = new Path({ plan: "none" });
-  const answer = path.ask();
+test("an instance without a plan responds that it is not ready", async (t) => {
+  // The store does not respond at the start. If the route were reported as not
+  // found, callers would not retry.
+  const path = new RequestPath({ plan: "none" });
+  const answer = path.send();
   path.clock.advance(250);
   t.is(outcomeOf(await answer), "not_ready not-run");
 });
 
-test("a request that comes before the plan is served when it is there", async (t) => {
-  // All instances were killed and callers are back a moment before the plan.
-  // Sent away, they would come back half a second later with a retry spent.
-  const path = new Path({ plan: "none" });
-  const answer = path.ask();
+test("a request that arrives before the plan is served once it is loaded", async (t) => {
+  // After a kill of all instances, callers reconnect just before the plan is
+  // loaded. If refused, they would retry half a second later, one retry poorer.
+  const path = new RequestPath({ plan: "none" });
+  const answer = path.send();
   path.clock.advance(200);
   path.state.adopt(plan());
   path.gate.open();
   t.is(outcomeOf(await answer), "answer 200");
 });
 
-test("an endpoint is told the time that is left, by caller and route", async (t) => {
-  // An endpoint that is told more works on for a caller that has left.
-  const path = new Path({ plan: { routes: [route({ timeoutMs: 400 })] } });
-  await path.ask({ clientTimeoutMs: 1_000 });
+test("an endpoint gets the time left, limited by caller and route", async (t) => {
+  // With more time an endpoint would work on for a caller that has given up.
+  const path = new RequestPath({
+    plan: { routes: [route({ timeoutMs: 400 })] },
+  });
+  await path.send({ clientTimeoutMs: 1_000 });
   const headers = path.sender.sent[0]?.req.headers ?? [];
   const left = Number(headers[headers.indexOf("left") + 1]);
   t.true(left <= 400 && left > 300, String(left));
 });
 
-test("at the deadline the caller is answered, and the endpoint let go", async (t) => {
-  // An endpoint stays silent. The caller is told that the outcome is unknown,
-  // before it stops listening.
-  const path = new Path({ sender: new ScriptedSender("silence") });
-  const answer = path.ask({ clientTimeoutMs: 1_000 });
+test("at the deadline the caller gets a response and the attempt is cancelled", async (t) => {
+  // An endpoint does not respond. The caller must get the unknown outcome before
+  // it gives up.
+  const path = new RequestPath({ sender: new ScriptedSender("silence") });
+  const answer = path.send({ clientTimeoutMs: 1_000 });
   path.clock.advance(1_000);
   t.is(outcomeOf(await answer), "deadline_exceeded unknown");
   t.true(path.sender.sent[0]?.cancelled);
 });
 
-test("when the caller leaves, the endpoint is let go at once", async (t) => {
-  const path = new Path({ sender: new ScriptedSender("silence") });
-  const answer = path.ask();
+test("when the caller disconnects, the attempt is cancelled at once", async (t) => {
+  const path = new RequestPath({ sender: new ScriptedSender("silence") });
+  const answer = path.send();
   path.gone.abort();
   t.is(outcomeOf(await answer), "gone");
   t.true(path.sender.sent[0]?.cancelled);
 });
 
-test("an address that another endpoint has is not asked again", async (t) => {
-  // An endpoint has ended and its address went to another service before the
-  // registry says so.
-  const sender = new ScriptedSender(shed({ moved: true }), answered());
-  const path = new Path({ sender });
-  t.is(outcomeOf(await path.ask()), "answer 200");
+test("an endpoint whose address was reassigned is removed", async (t) => {
+  // An endpoint has ended and another service has its address before the
+  // registry shows it.
+  const sender = new ScriptedSender(shed({ moved: true }), responded());
+  const path = new RequestPath({ sender });
+  t.is(outcomeOf(await path.send()), "answer 200");
   const first = path.sender.sent[0]?.endpoint as EndpointId;
   t.is(path.state.endpoints.get(first), undefined);
 });
 
-test("an account over its rate is told when to come back", async (t) => {
+test("an account over its rate gets a retry delay", async (t) => {
   const limited = account({
     id: "a1" as AccountId,
     ratePerS: 1,
     burst: 1,
   });
-  const path = new Path({ plan: { accounts: [limited] } });
-  t.is(outcomeOf(await path.ask()), "answer 200");
-  const answer = await path.ask();
+  const path = new RequestPath({ plan: { accounts: [limited] } });
+  t.is(outcomeOf(await path.send()), "answer 200");
+  const answer = await path.send();
   t.is(outcomeOf(answer), "rate_exceeded not-run");
   if (answer.kind !== "refusal") return t.fail();
   t.true((answer.failure.retryAfterMs ?? 0) > 500);
 });
 
-test("a cold endpoint gets no more than its part of what it bears", async (t) => {
-  // An endpoint has just started. Sent its whole part of the traffic, it would
-  // crash; the rest goes to the others.
-  const path = new Path({
+test("a cold endpoint gets no more than its cold rate", async (t) => {
+  // With its full share of the traffic, an endpoint that has just started would
+  // crash; the excess goes to the others.
+  const path = new RequestPath({
     endpoints: [
       { id: "e1" as EndpointId, coldMs: 3_000 },
       { id: "e2" as EndpointId },
     ],
   });
   for (let i = 0; i < 100; i++) {
-    await path.ask({ affinityKey: `o${i}` });
+    await path.send({ affinityKey: `o${i}` });
     path.clock.advance(10);
   }
   const cold = path.sender.sent.filter((s) => s.endpoint === "e1").length;
   t.true(cold > 0 && cold <= 12, String(cold));
 });
 
-test("an endpoint that fails again and again is set aside", async (t) => {
-  // Its objects would meet it each time: their callers would see nothing but
-  // failures until the registry takes it out.
-  const path = new Path({
-    ...ONCE,
+test("an endpoint that fails repeatedly is ejected", async (t) => {
+  // By affinity the same objects go to it each time: their callers would only see
+  // failures until the registry removes it.
+  const path = new RequestPath({
+    ...NOT_IDEMPOTENT,
     sender: new ScriptedSender(
-      ...Array.from({ length: 4 }, () => answered(500)),
+      ...Array.from({ length: 4 }, () => responded(500)),
     ),
   });
   const answers: string[] = [];
   for (let i = 0; i < 8; i++) {
-    answers.push(outcomeOf(await path.ask()));
+    answers.push(outcomeOf(await path.send()));
     path.clock.advance(20);
   }
   t.deepEqual(answers.slice(-4), Array(4).fill("answer 200"));
   t.is(new Set(path.sender.sent.map((s) => s.endpoint)).size, 2);
 });
 
-test("an endpoint that sheds keeps its objects", async (t) => {
-  // Its slots are full for a moment. Set aside, it would lose all its objects to
-  // endpoints that do not know them, and they would be full next.
-  const path = new Path({
+test("an endpoint that sheds keeps its affinity keys", async (t) => {
+  // Its slots are full briefly. If it were ejected, its objects would move to
+  // endpoints that have not cached them, which would then be full as well.
+  const path = new RequestPath({
     sender: new ScriptedSender(
       ...Array.from(
         { length: 10 },
-        (_, i) => i % 2 === 0 ? shed() : answered(),
+        (_, i) => i % 2 === 0 ? shed() : responded(),
       ),
     ),
   });
-  for (let i = 0; i < 5; i++) t.is(outcomeOf(await path.ask()), "answer 200");
-  t.is(outcomeOf(await path.ask()), "answer 200");
+  for (let i = 0; i < 5; i++) t.is(outcomeOf(await path.send()), "answer 200");
+  t.is(outcomeOf(await path.send()), "answer 200");
   const { sent } = path.sender;
   t.is(sent.at(-1)?.endpoint, sent[0]?.endpoint);
 });
 
-test("a weighted route keeps to its weights", async (t) => {
+test("a weighted route follows its weights", async (t) => {
   const services = [
     { service: "s" as ServiceId, weight: 90 },
     { service: "s2" as ServiceId, weight: 10 },
   ];
-  const path = new Path({
+  const path = new RequestPath({
     plan: { routes: [route({ services })] },
     endpoints: [
       { id: "e1" as EndpointId },
       { id: "e2" as EndpointId, service: "s2" as ServiceId },
     ],
   });
-  for (let i = 0; i < 50; i++) await path.ask({ affinityKey: `o${i}` });
+  for (let i = 0; i < 50; i++) await path.send({ affinityKey: `o${i}` });
   const second = path.sender.sent.filter((s) => s.endpoint === "e2").length;
   t.is(second, 5);
 });
 
 const LIMITED = { kind: "limited", ratePerS: 2 } as const;
 
-/** Endpoints whose answers name a limit, or none. */
-function needy(limits: Readonly<Record<string, AnswerLimit>>): ScriptedSender {
+/** A sender whose endpoints respond with a limit or none. */
+function limitedSender(
+  limits: Readonly<Record<string, AnswerLimit>>,
+): ScriptedSender {
   const none = { kind: "none" } as const;
   return new ScriptedSender().answers((endpoint) =>
-    answered(200, { limit: limits[endpoint] ?? none })
+    responded(200, { limit: limits[endpoint] ?? none })
   );
 }
 
-async function askFor(path: Path, seconds: number): Promise<string[]> {
+async function sendFor(path: RequestPath, seconds: number): Promise<string[]> {
   const outcomes: string[] = [];
   for (let i = 0; i < seconds * 20; i++) {
-    outcomes.push(outcomeOf(await path.ask({ affinityKey: `o${i % 20}` })));
+    outcomes.push(outcomeOf(await path.send({ affinityKey: `o${i % 20}` })));
     path.clock.advance(50);
     if (i % 5 === 0) path.tick();
   }
   return outcomes;
 }
 
-// Guards against an endpoint in need that gets its whole part of the traffic.
-test("what an endpoint's limit leaves out is served elsewhere", async (t) => {
-  const path = new Path({ sender: needy({ e1: LIMITED }) });
-  const outcomes = await askFor(path, 10);
+// Guards against an overloaded endpoint that gets its full share of the traffic.
+test("requests above an endpoint's limit are served elsewhere", async (t) => {
+  const path = new RequestPath({ sender: limitedSender({ e1: LIMITED }) });
+  const outcomes = await sendFor(path, 10);
   t.true(outcomes.every((outcome) => outcome === "answer 200"));
   const limited = path.sender.sent.filter((s) => s.endpoint === "e1").length;
   t.true(limited >= 12 && limited <= 28, `${limited}`);
 });
 
-// Guards against requests that wait, or are sent, though no limit has room.
-test("where all endpoints name a limit the rest is refused at once", async (t) => {
-  const path = new Path({ sender: needy({ e1: LIMITED, e2: LIMITED }) });
-  const outcomes = await askFor(path, 10);
+// Guards against requests that wait, or are sent, although all limits are reached.
+test("requests above the limits of all endpoints are refused at once", async (t) => {
+  const path = new RequestPath({
+    sender: limitedSender({ e1: LIMITED, e2: LIMITED }),
+  });
+  const outcomes = await sendFor(path, 10);
   const refused = outcomes.filter((o) => o === "no_capacity not-run").length;
   t.true(refused > 120, `${refused}`);
   t.is(path.sender.sent.length, outcomes.length - refused);
-  const answer = await path.ask();
+  const answer = await path.send();
   if (answer.kind !== "refusal") return t.pass();
   t.regex(answer.failure.message, /takes 2 requests a second/);
   t.true((answer.failure.retryAfterMs ?? 0) >= 20);
 });
 
-// Guards against a limit that stays when the endpoint ceases to name it.
-test("a limit is lifted by an answer that names none", async (t) => {
+// Guards against a limit that stays when the endpoint no longer announces it.
+test("a response without a limit removes the limit", async (t) => {
   const limits: Record<string, AnswerLimit> = { e1: LIMITED };
-  const path = new Path({ sender: needy(limits) });
-  await askFor(path, 5);
+  const path = new RequestPath({ sender: limitedSender(limits) });
+  await sendFor(path, 5);
   delete limits["e1"];
-  await askFor(path, 2);
+  await sendFor(path, 2);
   const before = path.sender.sent.filter((s) => s.endpoint === "e1").length;
-  await askFor(path, 5);
+  await sendFor(path, 5);
   const after = path.sender.sent.filter((s) => s.endpoint === "e1").length;
   t.true(after - before > 30, `${after - before}`);
 });
 
-const NOT_HEEDED: readonly {
+const IGNORED_LIMITS: readonly {
   readonly name: string;
   readonly result: SendResult;
 }[] = [
   {
-    name: "that another endpoint at its address names",
+    name: "that another endpoint at its address announces",
     result: shed({ moved: true, limit: LIMITED }),
   },
   {
-    name: "that is no rate",
-    result: answered(200, { limit: { kind: "unreadable" } }),
+    name: "that is not a rate",
+    result: responded(200, { limit: { kind: "unreadable" } }),
   },
 ];
 
-for (const { name, result } of NOT_HEEDED) {
-  test(`no endpoint is held to a limit ${name}`, async (t) => {
-    const path = new Path({ sender: new ScriptedSender(result) });
-    const outcomes = await askFor(path, 5);
+for (const { name, result } of IGNORED_LIMITS) {
+  test(`a limit ${name} is ignored`, async (t) => {
+    const path = new RequestPath({ sender: new ScriptedSender(result) });
+    const outcomes = await sendFor(path, 5);
     t.true(outcomes.every((outcome) => outcome === "answer 200"));
     t.deepEqual(path.limited(), []);
   });
 }
 
-// Guards against a full endpoint that is taken to be out of need.
-test("an endpoint that sheds names its limit, and does not lift it", async (t) => {
-  const sender = new ScriptedSender(shed({ limit: LIMITED }), answered());
-  const path = new Path({ sender });
-  await path.ask();
+// Guards against a limit that is removed by a refusal without one.
+test("a refusal can set a limit, but not remove it", async (t) => {
+  const sender = new ScriptedSender(shed({ limit: LIMITED }), responded());
+  const path = new RequestPath({ sender });
+  await path.send();
   const [limited] = path.limited();
   t.not(limited, undefined);
   path.clock.advance(1_000);
   sender.answers(() => shed());
-  await askFor(path, 1);
+  await sendFor(path, 1);
   t.deepEqual(path.limited(), [limited]);
 });
--- a/src/edge/settings_in_force.ts
+++ b/src/edge/settings_in_force.ts
@@ -1,5 +1,5 @@
 /**
- * Which settings an instance runs, for its logs and metrics.
+ * Reports which settings are in force in logs and metrics.
  *
  * @module
  */
@@ -24,12 +24,12 @@
     this.#publish(1);
   }
 
-  /** What each log line carries. */
+  /** Fields that are added to every log line. */
   get fields(): LogFields {
     return { settings: this.#digest };
   }
 
-  /** Other settings are in force from now on. */
+  /** Replaces the settings in force. */
   replace(digest: string): void {
     this.#publish(0);
     this.#digest = digest;
--- a/src/edge/settings_in_force_test.ts
+++ b/src/edge/settings_in_force_test.ts
@@ -2,7 +2,7 @@
 import { TextMetrics } from "../telemetry/mod.ts";
 import { SettingsInForce } from "./mod.ts";
 
-// Guards against an instance that seems to run two settings files at once.
+// Guards against metrics that show two settings in force at once.
 test("only the last settings are in force", async (t) => {
   const metrics = new TextMetrics();
   const inForce = new SettingsInForce("1a2b", metrics);
--- a/src/edge/settings_watch_test.ts
+++ b/src/edge/settings_watch_test.ts
@@ -5,9 +5,9 @@
 
 function watch(texts: readonly (string | Failure)[]) {
   const seen: string[] = [];
-  const left = [...texts];
+  const remaining = [...texts];
   const read = (): Promise<Result<string, Failure>> => {
-    const next = left.shift() ?? "first";
+    const next = remaining.shift() ?? "first";
     return Promise.resolve(typeof next === "string" ? ok(next) : err(next));
   };
   const clock = new ManualClock();
@@ -22,21 +22,21 @@
   return { settings, seen, clock };
 }
 
-test("settings that changed are taken over once", async (t) => {
+test("changed settings are applied once", async (t) => {
   const { settings, seen } = watch(["first", "second", "second"]);
   for (let i = 0; i < 3; i++) await settings.look();
   t.deepEqual(seen, ["second"]);
 });
 
-test("settings that cannot be read leave the last ones in force", async (t) => {
-  // An operator's tool writes the file while it is read: half of it is there.
+test("unreadable settings leave the previous ones in force", async (t) => {
+  // The file is read while an operator's tool writes it, and is incomplete.
   const gone = failure("bad_settings", "no such file");
   const { settings, seen } = watch(["", gone, "second"]);
   for (let i = 0; i < 3; i++) await settings.look();
   t.deepEqual(seen, ["second"]);
 });
 
-test("settings are looked at without a signal too", async (t) => {
+test("settings are polled without a signal", async (t) => {
   const { seen, clock } = watch(["second"]);
   clock.advance(5_000);
   await Promise.resolve();
--- a/src/edge/steering_handlers.ts
+++ b/src/edge/steering_handlers.ts
@@ -1,6 +1,5 @@
 /**
- * Handlers that apply what watchers read to the state that requests are steered
- * by.
+ * Handlers that apply watched resources to the traffic state.
  *
  * @module
  */
@@ -10,20 +9,20 @@
 import type { ExpiryGuard } from "./expiry_guard.ts";
 import type { TrafficState } from "./traffic_state.ts";
 
-/** Takes in plans. */
+/** Applies plans. */
 export class PlanHandler implements ResourceHandler<TrafficPlan> {
   readonly #state: TrafficState;
   readonly #log: Log;
-  readonly #adopted: (plan: TrafficPlan) => void;
+  readonly #onAdopted: (plan: TrafficPlan) => void;
 
   constructor(
     state: TrafficState,
     log: Log,
-    adopted: (plan: TrafficPlan) => void,
+    onAdopted: (plan: TrafficPlan) => void,
   ) {
     this.#state = state;
     this.#log = log;
-    this.#adopted = adopted;
+    this.#onAdopted = onAdopted;
   }
 
   replaced(entries: readonly StoredEntry<TrafficPlan>[]): void {
@@ -41,10 +40,10 @@
       routes: value.routes.length,
       accounts: value.accounts.length,
     });
-    this.#adopted(value);
+    this.#onAdopted(value);
   }
 
-  /** A plan that is taken away leaves the last one in force. */
+  /** When the plan is deleted, the last one stays in force. */
   deleted(name: string): void {
     this.#log.event("plan_missing", { name, plan: this.#state.planVersion });
   }
@@ -52,63 +51,63 @@
   contact(): void {}
 }
 
-/** Takes in the endpoints' registrations. */
+/** Applies the endpoints' registrations. */
 export class EndpointHandler implements ResourceHandler<EndpointRecord> {
   readonly #state: TrafficState;
   readonly #clock: Clock;
   readonly #log: Log;
-  readonly #listed: () => void;
+  readonly #onListed: () => void;
   readonly #expiry: ExpiryGuard;
-  /** Entries that are missing since the store was away. */
-  readonly #missing = new Map<EndpointId, Timer>();
+  /** Removals of registrations that may have expired in a store outage. */
+  readonly #pendingRemovals = new Map<EndpointId, Timer>();
 
   constructor(opts: {
     readonly state: TrafficState;
     readonly clock: Clock;
     readonly log: Log;
     readonly expiry: ExpiryGuard;
-    readonly listed: () => void;
+    readonly onListed: () => void;
   }) {
     this.#state = opts.state;
     this.#clock = opts.clock;
     this.#log = opts.log;
     this.#expiry = opts.expiry;
-    this.#listed = opts.listed;
+    this.#onListed = opts.onListed;
   }
 
   replaced(entries: readonly StoredEntry<EndpointRecord>[]): void {
-    const named = new Set(entries.map(({ name }) => name as EndpointId));
+    const listedIds = new Set(entries.map(({ name }) => name as EndpointId));
     for (const row of [...this.#state.endpoints.rows()]) {
-      if (!named.has(row.id)) this.deleted(row.id);
+      if (!listedIds.has(row.id)) this.deleted(row.id);
     }
     for (const entry of entries) this.changed(entry);
-    this.#listed();
+    this.#onListed();
   }
 
   changed({ name, value }: StoredEntry<EndpointRecord>): void {
     const id = name as EndpointId;
-    this.#missing.get(id)?.close();
-    this.#missing.delete(id);
+    this.#pendingRemovals.get(id)?.close();
+    this.#pendingRemovals.delete(id);
     if (value === undefined) {
       this.#log.event("endpoint_unreadable", { endpoint: id });
       this.#state.endpoints.remove(id);
       return;
     }
-    this.#note(value);
+    this.#logChange(value);
     this.#state.endpoints.put(value, this.#clock.now());
   }
 
   deleted(name: string): void {
     const id = name as EndpointId;
     const row = this.#state.endpoints.get(id);
-    if (row === undefined || this.#missing.has(id)) return;
+    if (row === undefined || this.#pendingRemovals.has(id)) return;
     const holdMs = this.#expiry.holdMs(this.#clock.now());
-    if (holdMs <= 0 || row.record.draining) return this.#remove(id, "gone");
+    if (holdMs <= 0 || row.record.draining) return this.#removeNow(id, "gone");
     const timer = this.#clock.after(holdMs, () => {
-      this.#missing.delete(id);
-      this.#remove(id, "lapsed");
+      this.#pendingRemovals.delete(id);
+      this.#removeNow(id, "lapsed");
     });
-    this.#missing.set(id, timer);
+    this.#pendingRemovals.set(id, timer);
   }
 
   contact(inTouch: boolean): void {
@@ -125,19 +124,19 @@
   }
 
   close(): void {
-    for (const timer of this.#missing.values()) timer.close();
+    for (const timer of this.#pendingRemovals.values()) timer.close();
   }
 
-  #remove(id: EndpointId, reason: string): void {
+  #removeNow(id: EndpointId, reason: string): void {
     this.#log.event("endpoint_removed", { endpoint: id, reason });
     this.#state.endpoints.remove(id);
   }
 
-  #note(record: EndpointRecord): void {
+  #logChange(record: EndpointRecord): void {
     const known = this.#state.endpoints.get(record.id)?.record;
-    const same = known !== undefined && known.bornAt === record.bornAt &&
+    const isUnchanged = known !== undefined && known.bornAt === record.bornAt &&
       known.draining === record.draining && known.coldMs === record.coldMs;
-    if (same) return;
+    if (isUnchanged) return;
     this.#log.event("endpoint_changed", {
       endpoint: record.id,
       service: record.service,
@@ -148,7 +147,7 @@
   }
 }
 
-/** Takes in evacuations, each named after its zone. */
+/** Applies zone evacuations; an entry has the name of its zone. */
 export class EvacuationHandler implements ResourceHandler<true> {
   readonly #state: TrafficState;
   readonly #clock: Clock;
@@ -161,9 +160,9 @@
   }
 
   replaced(entries: readonly StoredEntry<true>[]): void {
-    const named = new Set(entries.map(({ name }) => name));
+    const listedZones = new Set(entries.map(({ name }) => name));
     for (const zone of this.#state.evacuatedZones()) {
-      if (!named.has(zone)) this.deleted(zone);
+      if (!listedZones.has(zone)) this.deleted(zone);
     }
     for (const entry of entries) this.changed(entry);
   }
--- a/src/edge/steering_sources.ts
+++ b/src/edge/steering_sources.ts
@@ -1,5 +1,5 @@
 /**
- * Where an instance learns what to steer by.
+ * Sources of the resources that an instance steers by.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import type { EndpointRecord, TrafficPlan } from "../traffic/mod.ts";
 import type { InstanceList } from "./instance_list.ts";
 
-/** Kinds of object in the store, and the list of instances. */
+/** Clients for the resource kinds in the store, and the instance list. */
 export interface SteeringSources {
   readonly plans: ResourceClient<TrafficPlan>;
   readonly endpoints: ResourceClient<EndpointRecord>;
--- a/src/edge/steering_watchers.ts
+++ b/src/edge/steering_watchers.ts
@@ -1,5 +1,5 @@
 /**
- * Watchers of the resource types that an instance steers by.
+ * Watchers of the resource kinds that an instance steers by.
  *
  * @module
  */
@@ -15,36 +15,36 @@
 import type { EndpointRecord, TrafficPlan } from "../traffic/mod.ts";
 import type { SteeringSources } from "./steering_sources.ts";
 
-/** Kinds of object, as instances name them to each other. */
-export const KINDS = ["plans", "endpoints", "evacuations"] as const;
+/** Resource kinds under the names that gossip uses. */
+export const RESOURCE_KINDS = ["plans", "endpoints", "evacuations"] as const;
 
-/** What takes in each kind. */
-export interface SteeringSinks {
+/** Handlers by resource kind. */
+export interface SteeringHandlers {
   readonly plans: ResourceHandler<TrafficPlan>;
   readonly endpoints: ResourceHandler<EndpointRecord>;
   readonly evacuations: ResourceHandler<true>;
 }
 
-/** What the watchers work with. */
-export interface SteeringFollowersOptions {
+/** Dependencies of the watchers. */
+export interface SteeringWatchersOptions {
   readonly sources: Omit<SteeringSources, "instances">;
-  readonly handlers: SteeringSinks;
+  readonly handlers: SteeringHandlers;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Log;
   readonly relay: (changes: RelayedChanges) => void;
   readonly fetch: FetchFromPeer;
-  /** How long to wait for instances that have read everything, in ms. */
+  /** How long to wait for a snapshot from peers at the start, in ms. */
   readonly peersFirstMs: number;
 }
 
-/** Followers by kind. */
+/** One watcher per resource kind. */
 export class SteeringWatchers {
   readonly #watchers: ReadonlyMap<string, ResourceWatcher<unknown>>;
 
-  constructor(opts: SteeringFollowersOptions) {
+  constructor(opts: SteeringWatchersOptions) {
     const { sources, handlers, ...common } = opts;
-    const follow = <T>(
+    const createWatcher = <T>(
       kind: string,
       source: ResourceClient<T>,
       sink: ResourceHandler<T>,
@@ -53,9 +53,9 @@
       new ResourceWatcher({ ...common, kind, source, sink }),
     ];
     this.#watchers = new Map([
-      follow("plans", sources.plans, handlers.plans),
-      follow("endpoints", sources.endpoints, handlers.endpoints),
-      follow("evacuations", sources.evacuations, handlers.evacuations),
+      createWatcher("plans", sources.plans, handlers.plans),
+      createWatcher("endpoints", sources.endpoints, handlers.endpoints),
+      createWatcher("evacuations", sources.evacuations, handlers.evacuations),
     ]);
   }
 
@@ -63,33 +63,33 @@
     for (const watcher of this.#watchers.values()) void watcher.run();
   }
 
-  /** Whether this instance asks the store itself, or is told by others. */
+  /** Sets whether this instance watches the store itself or relies on peers. */
   setWatching(watches: boolean): void {
     for (const watcher of this.#watchers.values()) {
       watcher.setWatching(watches);
     }
   }
 
-  /** Takes in changes that another instance passes on. */
-  reported(batch: RelayedChanges): void {
+  /** Applies changes that a peer relays. */
+  applyRelayed(batch: RelayedChanges): void {
     this.#watchers.get(batch.kind)?.reported(batch);
   }
 
-  /** Another instance knows of these changes. */
-  onRevision(changes: ReadonlyMap<string, number>): void {
-    for (const [kind, revision] of changes) {
+  /** Handles the latest revisions that a peer reports. */
+  onPeerRevisions(latestRevisions: ReadonlyMap<string, number>): void {
+    for (const [kind, revision] of latestRevisions) {
       this.#watchers.get(kind)?.onRevision(revision);
     }
   }
 
-  /** Revision of the last change that is known, by kind. */
+  /** Revision of the last known change, by kind. */
   changes(): ReadonlyMap<string, number> {
     return new Map(
       [...this.#watchers].map(([kind, f]) => [kind, f.changedAt]),
     );
   }
 
-  /** All that is known of a kind; undefined before it was read. */
+  /** All objects of a kind; undefined before the kind was read. */
   snapshot(kind: string): RelayedSnapshot | undefined {
     return this.#watchers.get(kind)?.snapshot();
   }
--- a/src/edge/stop_plan.ts
+++ b/src/edge/stop_plan.ts
@@ -1,29 +1,28 @@
 /**
- * The stop of an instance, in steps that cut no request.
+ * Stages of a graceful shutdown.
  *
- * Callers learn from the directory that the instance leaves, which takes them
- * as long as they keep an answer. Until then their connections and new ones are
- * served as before, only that each answer asks to leave. Then no more is taken,
- * and what is open is answered.
+ * Callers stop using the instance once their cached directory response expires.
+ * Until then existing and new connections are served, and each response has
+ * `Connection: close`. Then the listener closes, and open requests are completed.
  *
  * @module
  */
 
-/** When the steps begin, in milliseconds after the signal. */
+/** When the stages begin, in milliseconds after the stop signal. */
 export interface StopPlan {
-  /** No new connections, and those that rest are closed. */
+  /** The listener and idle connections are closed. */
   readonly stopListeningMs: number;
-  /** What is still open is given up. */
-  readonly giveUpMs: number;
+  /** Requests that are still open are aborted. */
+  readonly forceCloseMs: number;
 }
 
-/** Part of the time for which connections are still taken. */
-const LISTENING_PART = 0.5;
-/** Kept for the process's own end, in milliseconds. */
-const END_MS = 150;
+/** Share of the grace period in which connections are still accepted. */
+const LISTENING_SHARE = 0.5;
+/** Time reserved for the exit of the process, in milliseconds. */
+const EXIT_MARGIN_MS = 150;
 
 /**
- * Divides the time that an instance has between the signal and its end.
+ * Divides the grace period into stages.
  *
  * @example
  * ```ts
@@ -32,7 +31,7 @@
  */
 export function stopPlan(graceMs: number): StopPlan {
   return {
-    stopListeningMs: graceMs * LISTENING_PART,
-    giveUpMs: Math.max(0, graceMs - END_MS),
+    stopListeningMs: graceMs * LISTENING_SHARE,
+    forceCloseMs: Math.max(0, graceMs - EXIT_MARGIN_MS),
   };
 }
--- a/src/edge/testing/plain_codec.ts
+++ b/src/edge/testing/plain_codec.ts
@@ -1,5 +1,5 @@
 /**
- * A codec with plain names, for tests.
+ * A codec with short header names, for tests.
  *
  * @module
  */
@@ -14,19 +14,19 @@
   RequestCodec,
 } from "../request_codec.ts";
 
-const MOVED = 421;
+const MISDIRECTED_STATUS = 421;
 
 /** Reads and writes `id`, `object`, `patience`, `key`, `not-run`, `signed`. */
 export class PlainCodec implements RequestCodec {
   readCaller(url: string, headers: RawHeaders): CallerFields {
-    const patience = headerOf(headers, "patience");
+    const timeout = headerOf(headers, "patience");
     return {
       requestId: headerOf(headers, "id") ?? "",
       host: headerOf(headers, "host") ?? "",
       path: url,
       key: headerOf(headers, "key"),
       affinityKey: headerOf(headers, "object"),
-      clientTimeoutMs: patience === undefined ? undefined : Number(patience),
+      clientTimeoutMs: timeout === undefined ? undefined : Number(timeout),
     };
   }
 
@@ -45,15 +45,15 @@
   }
 
   readAnswer(status: number, headers: RawHeaders): AnswerFields {
-    const keep = headerOf(headers, "keep");
+    const keepAlive = headerOf(headers, "keep");
     return {
       requestId: headerOf(headers, "id"),
       notRun: headerOf(headers, "not-run") !== undefined,
-      moved: status === MOVED,
+      moved: status === MISDIRECTED_STATUS,
       signed: headerOf(headers, "signed") !== undefined,
       load: undefined,
       limit: { kind: "none" },
-      keepAliveMs: keep === undefined ? undefined : Number(keep),
+      keepAliveMs: keepAlive === undefined ? undefined : Number(keepAlive),
     };
   }
 
--- a/src/edge/testing/scripted_sender.ts
+++ b/src/edge/testing/scripted_sender.ts
@@ -1,5 +1,5 @@
 /**
- * A sender whose endpoints do as a test says.
+ * A sender that returns scripted results, for tests.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import type {
   EndpointSender,
   OutgoingRequest,
-  Sending,
+  PendingSend,
   SendResult,
 } from "../endpoint_sender.ts";
 import type { AnswerFields } from "../request_codec.ts";
@@ -23,8 +23,8 @@
   keepAliveMs: undefined,
 };
 
-/** An answer with this status. */
-export function answered(
+/** A response with this status. */
+export function responded(
   status = 200,
   fields: Partial<AnswerFields> = {},
 ): SendResult {
@@ -33,44 +33,44 @@
     status,
     headers: [],
     fields: { ...FIELDS, ...fields },
-    body: { bytes: Buffer.from("ok"), rest: undefined },
+    body: { bytes: Buffer.from("ok"), remainder: undefined },
   };
 }
 
-/** A refusal that says the request did not run. */
+/** A refusal that states that the request did not run. */
 export function shed(fields: Partial<AnswerFields> = {}): SendResult {
   const moved = fields.moved ?? false;
   return { kind: "not-run", moved, fields: { ...FIELDS, ...fields } };
 }
 
-/** One send as the sender saw it. */
-export interface Sent {
+/** One request to the sender. */
+export interface RecordedSend {
   readonly endpoint: string;
   readonly req: OutgoingRequest;
   cancelled: boolean;
 }
 
-/** Answers each send with the next result; "silence" never answers. */
+/** Returns the next result for each request; "silence" never responds. */
 export class ScriptedSender implements EndpointSender {
-  readonly sent: Sent[] = [];
+  readonly sent: RecordedSend[] = [];
   readonly #results: (SendResult | "silence")[];
 
-  #answer: (endpoint: string) => SendResult = () => answered();
+  #fallback: (endpoint: string) => SendResult = () => responded();
 
   constructor(...results: (SendResult | "silence")[]) {
     this.#results = results;
   }
 
-  /** Says how an endpoint answers once there are no results left. */
+  /** Sets the result of an endpoint once no scripted results are left. */
   answers(answer: (endpoint: string) => SendResult): this {
-    this.#answer = answer;
+    this.#fallback = answer;
     return this;
   }
 
-  send(endpoint: EndpointRow, req: OutgoingRequest): Sending {
-    const sent: Sent = { endpoint: endpoint.id, req, cancelled: false };
+  send(endpoint: EndpointRow, req: OutgoingRequest): PendingSend {
+    const sent: RecordedSend = { endpoint: endpoint.id, req, cancelled: false };
     this.sent.push(sent);
-    const next = this.#results.shift() ?? this.#answer(endpoint.id);
+    const next = this.#results.shift() ?? this.#fallback(endpoint.id);
     let settle: (result: SendResult) => void = () => {};
     const result = new Promise<SendResult>((resolve) => {
       settle = resolve;
@@ -83,7 +83,7 @@
     return { result, cancel };
   }
 
-  forget(): void {}
+  closeIdleConnections(): void {}
 
   close(): Promise<void> {
     return Promise.resolve();
--- a/src/edge/traffic_state.ts
+++ b/src/edge/traffic_state.ts
@@ -1,5 +1,5 @@
 /**
- * What an instance steers requests by at this moment.
+ * The state by which an instance steers requests.
  *
  * @module
  */
@@ -23,21 +23,21 @@
 } from "../traffic/mod.ts";
 
 /**
- * How long endpoints of a zone are treated as cold once its evacuation ends, in
- * milliseconds. They may have lost what they held in memory; the registry says
- * so with their next report, up to a report's period later.
+ * How long endpoints of a zone are treated as cold after its evacuation ends, in
+ * milliseconds. They may have lost their caches, and the registry shows that
+ * only with their next report, up to one report period later.
  */
 const COLD_AFTER_EVACUATION_MS = 2_000;
 
-/** The plan in force, the endpoints, and the zones being evacuated. */
+/** The plan in force, the endpoints and the evacuated zones. */
 export class TrafficState {
   readonly endpoints: EndpointTable;
-  #table: RouteTable | undefined;
-  #bound = NOTHING_PINNED;
+  #routeTable: RouteTable | undefined;
+  #pinned = NOTHING_PINNED;
   readonly #evacuated = new Set<ZoneId>();
-  /** Answers of `eligible`, until an endpoint or a zone changes. */
+  /** Results of `eligible`; cleared when an endpoint or a zone changes. */
   readonly #eligible = new Map<string, readonly EndpointRow[]>();
-  #eligibleAt = -1;
+  #eligibleVersion = -1;
   #zoneChanges = 0;
 
   constructor(
@@ -48,33 +48,33 @@
   }
 
   /** Routes and accounts; undefined before the first plan. */
-  get table(): RouteTable | undefined {
-    return this.#table;
+  get routeTable(): RouteTable | undefined {
+    return this.#routeTable;
   }
 
-  /** Work that the plan binds to one region. */
-  get bound(): PinnedDemand {
-    return this.#bound;
+  /** Demand that the plan pins to one region. */
+  get pinned(): PinnedDemand {
+    return this.#pinned;
   }
 
   get planVersion(): number {
-    return this.#table?.plan.version ?? 0;
+    return this.#routeTable?.plan.version ?? 0;
   }
 
   /**
-   * Puts a plan in force unless it is older than the one that is. Gives whether
-   * it did: a late read must not take back what callers have seen in force.
+   * Puts a plan in force unless it is as old as the current one or older, and
+   * returns whether it did: a stale read must not undo a plan in force.
    */
   adopt(plan: TrafficPlan): boolean {
-    if (this.#table !== undefined && plan.version <= this.planVersion) {
+    if (this.#routeTable !== undefined && plan.version <= this.planVersion) {
       return false;
     }
-    this.#table = new RouteTable(plan);
-    this.#bound = pinnedDemand(plan.accounts);
+    this.#routeTable = new RouteTable(plan);
+    this.#pinned = pinnedDemand(plan.accounts);
     return true;
   }
 
-  /** Begins a zone's evacuation; gives whether that is news. */
+  /** Starts a zone's evacuation; returns whether it was not evacuated before. */
   evacuate(zone: ZoneId): boolean {
     if (this.#evacuated.has(zone)) return false;
     this.#evacuated.add(zone);
@@ -82,7 +82,7 @@
     return true;
   }
 
-  /** Ends a zone's evacuation; gives whether that is news. */
+  /** Ends a zone's evacuation; returns whether it was evacuated before. */
   restore(zone: ZoneId, now: number): boolean {
     if (!this.#evacuated.delete(zone)) return false;
     this.#zoneChanges++;
@@ -98,19 +98,19 @@
   }
 
   /**
-   * Endpoints of a service that new requests may go to. The same array until
-   * something changes.
+   * Endpoints of a service that may receive new requests. Returns the same array
+   * until an endpoint or a zone changes.
    */
   eligible(
     service: ServiceId,
     regions: ReadonlySet<RegionId> | undefined,
   ): readonly EndpointRow[] {
-    const changes = this.endpoints.changes + this.#zoneChanges;
-    if (changes !== this.#eligibleAt) this.#eligible.clear();
-    this.#eligibleAt = changes;
+    const version = this.endpoints.changes + this.#zoneChanges;
+    if (version !== this.#eligibleVersion) this.#eligible.clear();
+    this.#eligibleVersion = version;
     const key = `${service} ${regions === undefined ? "" : [...regions]}`;
-    const known = this.#eligible.get(key);
-    if (known !== undefined) return known;
+    const cached = this.#eligible.get(key);
+    if (cached !== undefined) return cached;
     const rows = this.endpoints.ofService(service).filter((row) =>
       !row.record.draining && !this.#evacuated.has(row.record.zone) &&
       (regions === undefined || regions.has(row.region))
