--- a/src/edge/gossip_handlers.ts
+++ b/src/edge/gossip_handlers.ts
@@ -65,7 +65,7 @@
 
   /**
    * An instance that does not watch the store counts as connected to it while
-   * the peer that watches for it is.
+   * a peer that watches for it is.
    */
   roles({ isRelay, isStoreWatcher }: Roles): void {
     const { clock, log, watchers, expiry, watchPeerInTouch } = this.#opts;
--- a/src/edge/http_endpoint_sender_test.ts
+++ b/src/edge/http_endpoint_sender_test.ts
@@ -59,7 +59,7 @@
   };
 }
 
-function answer(head: string, body = "", id = "q1"): string {
+function response(head: string, body = "", id = "q1"): string {
   return `HTTP/1.1 200 OK\r\nid: ${id}\r\nsigned: yes\r\n${head}\r\n${body}`;
 }
 
@@ -92,32 +92,32 @@
 }[] = [
   {
     name: "a complete response with a length",
-    script: (s) => s.write(answer("Content-Length: 2\r\n", "ab")),
+    script: (s) => s.write(response("Content-Length: 2\r\n", "ab")),
     want: "answer ab",
   },
   {
     name: "a close-delimited response",
-    script: (s) => s.end(answer("Connection: close\r\n", "ab")),
+    script: (s) => s.end(response("Connection: close\r\n", "ab")),
     want: "answer ab",
   },
   {
     name: "a close-delimited response whose connection is reset",
     script: (s) => {
-      s.write(answer("Connection: close\r\n", "ab"));
+      s.write(response("Connection: close\r\n", "ab"));
       setTimeout(() => s.resetAndDestroy(), 30);
     },
     want: "unknown cut",
   },
   {
     name: "a response that closes before its length is reached",
-    script: (s) => s.end(answer("Content-Length: 9\r\n", "ab")),
+    script: (s) => s.end(response("Content-Length: 9\r\n", "ab")),
     want: "unknown cut",
   },
   {
     name: "a chunked response that closes between two chunks",
     script: (s) =>
       s.end(
-        answer(
+        response(
           "Connection: close\r\nTransfer-Encoding: chunked\r\n",
           "2\r\nab\r\n",
         ),
@@ -128,7 +128,7 @@
     name: "a chunked response that is reset between two chunks",
     script: (s) => {
       s.write(
-        answer(
+        response(
           "Connection: close\r\nTransfer-Encoding: chunked\r\n",
           "2\r\nab\r\n",
         ),
@@ -144,7 +144,7 @@
   },
   {
     name: "the response to another request",
-    script: (s) => s.write(answer("Content-Length: 2\r\n", "ab", "q0")),
+    script: (s) => s.write(response("Content-Length: 2\r\n", "ab", "q0")),
     want: "unknown foreign",
   },
   {
@@ -186,7 +186,7 @@
 test("a connection with extra bytes after a response is not reused", async (t) => {
   // Guards against a surplus response that reaches the next caller.
   const endpoint = await listen((socket) => {
-    const whole = answer("Content-Length: 2\r\n", "ab");
+    const whole = response("Content-Length: 2\r\n", "ab");
     socket.write(whole + whole);
   });
   const sender = new HttpEndpointSender(new PlainCodec(), new SystemClock());
@@ -203,7 +203,7 @@
 test("bytes on an idle connection close it", async (t) => {
   // Guards against late bytes that are read as the next request's response.
   const endpoint = await listen((socket) => {
-    socket.write(answer("Content-Length: 2\r\n", "ab"));
+    socket.write(response("Content-Length: 2\r\n", "ab"));
     setTimeout(() => socket.write("HTTP/1.1 200 O"), 10);
   });
   const sender = new HttpEndpointSender(new PlainCodec(), new SystemClock());
@@ -230,7 +230,7 @@
   // Guards against a chunked body at endpoints that cannot read one.
   let head = "";
   const endpoint = await listen((socket) => {
-    socket.write(answer("Content-Length: 2\r\n", "ab"));
+    socket.write(response("Content-Length: 2\r\n", "ab"));
   }, (chunk) => head += chunk);
   const sender = new HttpEndpointSender(new PlainCodec(), new SystemClock());
   const row = endpointRow({ address: endpoint.address });
@@ -243,7 +243,7 @@
 
 test("a connection is reused after a complete response", async (t) => {
   const endpoint = await listen((socket) =>
-    socket.write(answer("Content-Length: 2\r\n", "ab"))
+    socket.write(response("Content-Length: 2\r\n", "ab"))
   );
   const sender = new HttpEndpointSender(new PlainCodec(), new SystemClock());
   const row = endpointRow({ address: endpoint.address });
@@ -278,7 +278,7 @@
   const pieces = 8;
   const endpoint = await listen((socket) => {
     const length = piece.length * pieces;
-    socket.write(answer(`Content-Length: ${length}\r\n`));
+    socket.write(response(`Content-Length: ${length}\r\n`));
     for (let i = 0; i < pieces; i++) socket.write(piece);
   });
   const sender = new HttpEndpointSender(new PlainCodec(), new SystemClock());
@@ -307,7 +307,7 @@
 test("an endpoint that drops idle connections fails only one request", async (t) => {
   // Guards against repeated failures on connections dropped while idle.
   const endpoint = await listen((socket, requests) => {
-    if (requests === 1) socket.write(answer("content-length: 2\r\n", "ok"));
+    if (requests === 1) socket.write(response("content-length: 2\r\n", "ok"));
     else socket.resetAndDestroy();
   });
   const clock = new ManualClock();
@@ -333,7 +333,7 @@
   // Guards against a new connection for each request at a low request rate.
   const endpoint = await listen((socket) => {
     const head = "keep: 10000\r\ncontent-length: 2\r\n";
-    socket.write(answer(head, "ok"));
+    socket.write(response(head, "ok"));
   });
   const clock = new ManualClock();
   const sender = new HttpEndpointSender(new PlainCodec(), clock);
--- a/src/edge/request_flow_test.ts
+++ b/src/edge/request_flow_test.ts
@@ -138,10 +138,10 @@
 }
 
 /** The result as text. */
-function outcomeOf(answer: FlowResult): string {
-  if (answer.kind === "answer") return `answer ${answer.status}`;
-  if (answer.kind === "gone") return "gone";
-  const { code, outcome } = answer.failure;
+function outcomeOf(result: FlowResult): string {
+  if (result.kind === "answer") return `answer ${result.status}`;
+  if (result.kind === "gone") return "gone";
+  const { code, outcome } = result.failure;
   return outcome === undefined ? code : `${code} ${outcome}`;
 }
 
@@ -308,20 +308,20 @@
   // The store does not respond at the start. If the route were reported as not
   // found, callers would not retry.
   const path = new RequestPath({ plan: "none" });
-  const answer = path.send();
+  const result = path.send();
   path.clock.advance(250);
-  t.is(outcomeOf(await answer), "not_ready not-run");
+  t.is(outcomeOf(await result), "not_ready not-run");
 });
 
 test("a request that arrives before the plan is served once it is loaded", async (t) => {
   // After a kill of all instances, callers reconnect just before the plan is
-  // loaded. If refused, they would retry half a second later, one retry poorer.
+  // loaded. If refused, they would retry half a second later, with a retry spent.
   const path = new RequestPath({ plan: "none" });
-  const answer = path.send();
+  const result = path.send();
   path.clock.advance(200);
   path.state.adopt(plan());
   path.gate.open();
-  t.is(outcomeOf(await answer), "answer 200");
+  t.is(outcomeOf(await result), "answer 200");
 });
 
 test("an endpoint gets the time left, limited by caller and route", async (t) => {
@@ -339,17 +339,17 @@
   // An endpoint does not respond. The caller must get the unknown outcome before
   // it gives up.
   const path = new RequestPath({ sender: new ScriptedSender("silence") });
-  const answer = path.send({ clientTimeoutMs: 1_000 });
+  const result = path.send({ clientTimeoutMs: 1_000 });
   path.clock.advance(1_000);
-  t.is(outcomeOf(await answer), "deadline_exceeded unknown");
+  t.is(outcomeOf(await result), "deadline_exceeded unknown");
   t.true(path.sender.sent[0]?.cancelled);
 });
 
 test("when the caller disconnects, the attempt is cancelled at once", async (t) => {
   const path = new RequestPath({ sender: new ScriptedSender("silence") });
-  const answer = path.send();
+  const result = path.send();
   path.gone.abort();
-  t.is(outcomeOf(await answer), "gone");
+  t.is(outcomeOf(await result), "gone");
   t.true(path.sender.sent[0]?.cancelled);
 });
 
@@ -371,10 +371,10 @@
   });
   const path = new RequestPath({ plan: { accounts: [limited] } });
   t.is(outcomeOf(await path.send()), "answer 200");
-  const answer = await path.send();
-  t.is(outcomeOf(answer), "rate_exceeded not-run");
-  if (answer.kind !== "refusal") return t.fail();
-  t.true((answer.failure.retryAfterMs ?? 0) > 500);
+  const result = await path.send();
+  t.is(outcomeOf(result), "rate_exceeded not-run");
+  if (result.kind !== "refusal") return t.fail();
+  t.true((result.failure.retryAfterMs ?? 0) > 500);
 });
 
 test("a cold endpoint gets no more than its cold rate", async (t) => {
@@ -486,10 +486,10 @@
   const refused = outcomes.filter((o) => o === "no_capacity not-run").length;
   t.true(refused > 120, `${refused}`);
   t.is(path.sender.sent.length, outcomes.length - refused);
-  const answer = await path.send();
-  if (answer.kind !== "refusal") return t.pass();
-  t.regex(answer.failure.message, /takes 2 requests a second/);
-  t.true((answer.failure.retryAfterMs ?? 0) >= 20);
+  const result = await path.send();
+  if (result.kind !== "refusal") return t.pass();
+  t.regex(result.failure.message, /takes 2 requests a second/);
+  t.true((result.failure.retryAfterMs ?? 0) >= 20);
 });
 
 // Guards against a limit that stays when the endpoint no longer announces it.
--- a/src/edge/steering_watchers.ts
+++ b/src/edge/steering_watchers.ts
@@ -76,8 +76,8 @@
   }
 
   /** Handles the latest revisions that a peer reports. */
-  onPeerRevisions(latestRevisions: ReadonlyMap<string, number>): void {
-    for (const [kind, revision] of latestRevisions) {
+  onPeerRevisions(revisions: ReadonlyMap<string, number>): void {
+    for (const [kind, revision] of revisions) {
       this.#watchers.get(kind)?.onRevision(revision);
     }
   }
--- a/src/edge/testing/scripted_sender.ts
+++ b/src/edge/testing/scripted_sender.ts
@@ -62,8 +62,8 @@
   }
 
   /** Sets the result of an endpoint once no scripted results are left. */
-  answers(answer: (endpoint: string) => SendResult): this {
-    this.#fallback = answer;
+  answers(result: (endpoint: string) => SendResult): this {
+    this.#fallback = result;
     return this;
   }
 
