--- a/src/edge/admission.ts
+++ b/src/edge/admission.ts
@@ -54,7 +54,7 @@
     if (route === undefined) return fail("not_found", "no such route");
     const account = accountOf(routeTable, route, fields.key);
     if (account === "unknown") {
-      return fail("unauthenticated", "the API key is unknown");
+      return fail("unauthenticated", "the key is not known");
     }
     const limited = this.#takeQuota(account);
     if (limited !== undefined) return err(limited);
--- a/src/edge/request_flow.ts
+++ b/src/edge/request_flow.ts
@@ -153,7 +153,7 @@
         if (this.#takeRetryIfIdempotent(ctx)) return undefined;
         return this.#refuseFailed(
           ctx,
-          `the endpoint's response was ${result.reason}`,
+          `the endpoint's answer is ${result.reason}`,
         );
       case "cancelled":
         if (result.sent) ctx.mayHaveRun = true;
@@ -258,9 +258,9 @@
 function invalidReason(
   { status, fields }: EndpointResponse,
 ): string | undefined {
-  if (status < 300 && !fields.signed) return "the response is not signed";
+  if (status < 300 && !fields.signed) return "the answer is not signed";
   // The endpoint did not state that the request did not run, so the caller must
   // not conclude that from the status.
-  if (NOT_RUN_STATUSES.has(status)) return `the endpoint sent status ${status}`;
+  if (NOT_RUN_STATUSES.has(status)) return `the endpoint answered ${status}`;
   return undefined;
 }
