--- a/src/edge/edge_instance.ts
+++ b/src/edge/edge_instance.ts
@@ -166,7 +166,7 @@
       peersFirstMs: cfg.firstStart ? FIRST_START_WAIT_MS : 0,
       relay: (changes) => this.#member.relay(changes),
       fetch: (kind, atLeast, signal) => {
-        const peers = this.#member.knowing(kind, atLeast);
+        const peers = this.#member.instancesWithRevision(kind, atLeast);
         return this.#snapshots.fetch(kind, peers, signal);
       },
     });
@@ -174,10 +174,10 @@
       profile: this.#profile,
       capacity: cfg.capacity,
       firstStart: cfg.firstStart,
-      assumed: cfg.zones.size * ASSUMED_INSTANCES_PER_ZONE,
+      assumedFleetSize: cfg.zones.size * ASSUMED_INSTANCES_PER_ZONE,
       seeds: cfg.seeds.filter((seed) => seed !== cfg.listen.digest),
       transport: opts.transport,
-      book: this.#dictionary,
+      dictionary: this.#dictionary,
       clock,
       random,
       log,
@@ -240,7 +240,7 @@
     const stages = stopPlan(this.#graceMs);
     this.#leaving = true;
     this.#server?.startDraining();
-    this.#member.tell();
+    this.#member.sendDigestNow();
     log.event("stop_begun", { graceMs: this.#graceMs });
     const stopStartedAt = clock.now();
     await sleep(clock, stages.stopListeningMs);
--- a/tools/process_soak/process_soak_test.ts
+++ b/tools/process_soak/process_soak_test.ts
@@ -76,8 +76,8 @@
     name: "a request that may have run is sent again",
     fault: {
       file: "request_flow.ts",
-      text: "ctx.route.idempotent && this.#mayTryElsewhere(ctx)",
-      instead: "this.#mayTryElsewhere(ctx)",
+      text: "ctx.route.idempotent && this.#takeRetry(ctx)",
+      instead: "this.#takeRetry(ctx)",
     },
     only: ["endpoint answers"],
     property: "what may run once runs once",
