--- a/src/edge/caller_server.ts
+++ b/src/edge/caller_server.ts
@@ -120,7 +120,7 @@
   async #respond(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const { codec, clock, handle } = this.#opts;
     const arrivedAt = clock.now();
-    const fields = codec.readCaller(req.url ?? "/", req.rawHeaders);
+    const fields = codec.readRequest(req.url ?? "/", req.rawHeaders);
     const body = await readBody(req, this.#maxBodyBytes);
     if (body === "gone") return;
     if (body === "too_large") {
--- a/src/edge/endpoint_limits.ts
+++ b/src/edge/endpoint_limits.ts
@@ -22,7 +22,7 @@
 } from "../decisions/quotas/mod.ts";
 import type { GroupReport, ObservedLimits } from "../fleet/mod.ts";
 import type { EndpointRow } from "../traffic/mod.ts";
-import type { AnswerLimit } from "./request_codec.ts";
+import type { AnnouncedLimit } from "./request_codec.ts";
 
 /** Dependencies of the limits. */
 export interface EndpointLimitsOptions {
@@ -71,7 +71,7 @@
   }
 
   /** Applies the limit of a response whose header arrived at `at`. */
-  answered({ id }: EndpointRow, limit: AnswerLimit, at: number): void {
+  answered({ id }: EndpointRow, limit: AnnouncedLimit, at: number): void {
     if (limit.kind === "unreadable") return this.#logUnreadable(id);
     this.#unreadable.delete(id);
     const ratePerS = limit.kind === "limited" ? limit.ratePerS : undefined;
--- a/src/edge/endpoint_sender.ts
+++ b/src/edge/endpoint_sender.ts
@@ -5,7 +5,7 @@
  */
 import type { Buffer } from "node:buffer";
 import type { EndpointRow } from "../traffic/mod.ts";
-import type { AnswerFields } from "./request_codec.ts";
+import type { ResponseFields } from "./request_codec.ts";
 
 /** A request to an endpoint. */
 export interface OutgoingRequest {
@@ -57,7 +57,7 @@
     readonly kind: "answer";
     readonly status: number;
     readonly headers: string[];
-    readonly fields: AnswerFields;
+    readonly fields: ResponseFields;
     /** When its header arrived, on the instance's clock; now if undefined. */
     readonly headAt?: number;
     readonly body: ResponseBody;
@@ -68,7 +68,7 @@
   | {
     readonly kind: "not-run";
     readonly moved: boolean;
-    readonly fields: AnswerFields;
+    readonly fields: ResponseFields;
     readonly headAt?: number;
   }
   | { readonly kind: "unknown"; readonly reason: UnknownReason }
--- a/src/edge/exchange.ts
+++ b/src/edge/exchange.ts
@@ -10,7 +10,7 @@
 import type { EndpointConnection } from "./endpoint_connections.ts";
 import type { BodyRemainder, BodySink, SendResult } from "./endpoint_sender.ts";
 import { headerOf } from "./header_fields.ts";
-import type { AnswerFields, RequestCodec } from "./request_codec.ts";
+import type { RequestCodec, ResponseFields } from "./request_codec.ts";
 
 /**
  * Responses up to this size in bytes are buffered until complete: a truncated
@@ -34,7 +34,7 @@
   readonly #req: ClientRequest;
   #connection: EndpointConnection | undefined;
   #res: IncomingMessage | undefined;
-  #fields: AnswerFields | undefined;
+  #fields: ResponseFields | undefined;
   #headAt = 0;
   #buffered: Buffer[] = [];
   #bufferedBytes = 0;
@@ -75,7 +75,7 @@
     const status = res.statusCode ?? 0;
     this.#res = res;
     this.#headAt = this.#opts.clock.now();
-    this.#fields = this.#opts.codec.readAnswer(status, res.rawHeaders);
+    this.#fields = this.#opts.codec.readResponse(status, res.rawHeaders);
     if (!this.#matchesRequest(this.#fields)) {
       this.#finish({ kind: "unknown", reason: "foreign" });
       this.#req.destroy();
@@ -137,7 +137,7 @@
    * Whether a response belongs to the request. A late response to an earlier
    * request would otherwise go to the wrong caller. Refusals may have no id.
    */
-  #matchesRequest({ requestId, notRun, moved }: AnswerFields): boolean {
+  #matchesRequest({ requestId, notRun, moved }: ResponseFields): boolean {
     if (requestId === undefined) return notRun || moved;
     return requestId === this.#opts.requestId;
   }
--- a/src/edge/gossip_handlers.ts
+++ b/src/edge/gossip_handlers.ts
@@ -40,7 +40,7 @@
     quotas.applyReport({ ...report, instance }, uses, now);
     limits.applyReport(report, now);
     if (report.storeInTouch) expiry.recordPeerContact(now);
-    peerLoad.reported(instance, inFlight);
+    peerLoad.applyReport(instance, inFlight);
     watchers.onPeerRevisions(report.changes);
   }
 
--- a/src/edge/mod.ts
+++ b/src/edge/mod.ts
@@ -18,7 +18,7 @@
 export * from "./request_codec.ts";
 export * from "./request_flow.ts";
 export * from "./settings_in_force.ts";
-export * from "./settings_watch.ts";
+export * from "./settings_watcher.ts";
 export * from "./stop_plan.ts";
 export * from "./traffic_state.ts";
 export * from "./request_context.ts";
--- a/src/edge/peer_load.ts
+++ b/src/edge/peer_load.ts
@@ -27,7 +27,7 @@
   }
 
   /** Applies the report of a group: an instance, a zone, or the fleet. */
-  reported(group: InstanceId, inFlight: InFlightCounts): void {
+  applyReport(group: InstanceId, inFlight: InFlightCounts): void {
     this.remove(group);
     this.#reported.set(group, inFlight);
     for (const [endpoint, n] of inFlight) this.#add(endpoint, n);
--- a/src/edge/peer_snapshots.ts
+++ b/src/edge/peer_snapshots.ts
@@ -19,7 +19,7 @@
 } from "../core/mod.ts";
 import { type InstanceProfile, splitAddress } from "../fleet/mod.ts";
 import type { RelayedSnapshot } from "../watcher/mod.ts";
-import type { PlainAnswer } from "./plain_server.ts";
+import type { PlainResponse } from "./plain_server.ts";
 
 /** Timeout of a fetch, in milliseconds: about 200 KB over a slow link. */
 const FETCH_TIMEOUT_MS = 800;
@@ -36,7 +36,7 @@
 export function serveSnapshot(
   url: string,
   snapshotOf: (kind: string) => RelayedSnapshot | undefined,
-): PlainAnswer {
+): PlainResponse {
   if (!url.startsWith(PATH_PREFIX)) return { status: 404 };
   const snapshot = snapshotOf(url.slice(PATH_PREFIX.length));
   if (snapshot === undefined) return { status: 503 };
--- a/src/edge/plain_server.ts
+++ b/src/edge/plain_server.ts
@@ -8,7 +8,7 @@
 import { closeAtOnce, listenAt } from "./listening.ts";
 
 /** A response held in memory. */
-export interface PlainAnswer {
+export interface PlainResponse {
   readonly status: number;
   readonly contentType?: string;
   readonly body?: string | Buffer;
@@ -18,7 +18,7 @@
 export type PlainHandler = (
   method: string,
   url: string,
-) => PlainAnswer | Promise<PlainAnswer>;
+) => PlainResponse | Promise<PlainResponse>;
 
 /** An HTTP server with one handler. */
 export class PlainServer {
--- a/src/edge/request_context.ts
+++ b/src/edge/request_context.ts
@@ -6,13 +6,13 @@
 import type { Buffer } from "node:buffer";
 import type { CancelSignal, RegionId, ServiceId } from "../core/mod.ts";
 import type { Account, EndpointRow, Route } from "../traffic/mod.ts";
-import type { CallerFields, RawHeaders } from "./request_codec.ts";
+import type { RawHeaders, RequestFields } from "./request_codec.ts";
 
 /** A caller's request with its complete body. */
 export interface CallerRequest {
   readonly method: string;
   readonly headers: RawHeaders;
-  readonly fields: CallerFields;
+  readonly fields: RequestFields;
   readonly body: Buffer | undefined;
   /** When its header arrived, on the instance's clock. */
   readonly arrivedAt: number;
--- a/src/edge/request_flow_test.ts
+++ b/src/edge/request_flow_test.ts
@@ -20,7 +20,7 @@
 import { EndpointChooser } from "./endpoint_chooser.ts";
 import { AccessLog } from "./access_log.ts";
 import type { SendResult } from "./endpoint_sender.ts";
-import type { AnswerLimit, CallerFields } from "./request_codec.ts";
+import type { AnnouncedLimit, RequestFields } from "./request_codec.ts";
 import { type FlowResult, RequestFlow } from "./request_flow.ts";
 import { PlainCodec } from "./testing/plain_codec.ts";
 import { responded, ScriptedSender, shed } from "./testing/scripted_sender.ts";
@@ -117,7 +117,7 @@
       .filter((id) => this.#limits.limitOf(id) !== undefined);
   }
 
-  send(fields: Partial<CallerFields> = {}): Promise<FlowResult> {
+  send(fields: Partial<RequestFields> = {}): Promise<FlowResult> {
     return this.#flow.handle({
       method: "GET",
       headers: [],
@@ -450,7 +450,7 @@
 
 /** A sender whose endpoints respond with a limit or none. */
 function limitedSender(
-  limits: Readonly<Record<string, AnswerLimit>>,
+  limits: Readonly<Record<string, AnnouncedLimit>>,
 ): ScriptedSender {
   const none = { kind: "none" } as const;
   return new ScriptedSender().answers((endpoint) =>
@@ -494,7 +494,7 @@
 
 // Guards against a limit that stays when the endpoint no longer announces it.
 test("a response without a limit removes the limit", async (t) => {
-  const limits: Record<string, AnswerLimit> = { e1: LIMITED };
+  const limits: Record<string, AnnouncedLimit> = { e1: LIMITED };
   const path = new RequestPath({ sender: limitedSender(limits) });
   await sendFor(path, 5);
   delete limits["e1"];
--- a/src/edge/settings_watch.ts
+++ b/src/edge/settings_watcher.ts
@@ -12,32 +12,32 @@
 const POLL_INTERVAL_MS = 5_000;
 
 /** Dependencies of a settings watch. */
-export interface SettingsWatchOptions<T> {
+export interface SettingsWatcherOptions<T> {
   /** Reads the settings as text. */
   readonly read: () => Promise<Result<string, Failure>>;
   readonly parse: (text: string) => Result<T, Failure>;
   /** Called with settings that differ from the previous ones. */
-  readonly changed: (settings: T) => void;
+  readonly onChange: (settings: T) => void;
   readonly clock: Clock;
   readonly log: Log;
 }
 
 /** Polls the settings until closed. */
-export class SettingsWatch<T> {
-  readonly #opts: SettingsWatchOptions<T>;
+export class SettingsWatcher<T> {
+  readonly #opts: SettingsWatcherOptions<T>;
   #currentText: string;
   #timer: Timer | undefined;
 
   /** @param text The settings that are in force. */
-  constructor(text: string, opts: SettingsWatchOptions<T>) {
+  constructor(text: string, opts: SettingsWatcherOptions<T>) {
     this.#currentText = text;
     this.#opts = opts;
     this.#schedulePoll();
   }
 
   /** Checks now; unreadable settings leave the previous ones in force. */
-  async look(): Promise<void> {
-    const { read, parse, changed, log } = this.#opts;
+  async reload(): Promise<void> {
+    const { read, parse, onChange: changed, log } = this.#opts;
     const text = await read();
     if (text.isOk() && text.value === this.#currentText) return;
     const settings = text.andThen(parse);
@@ -56,7 +56,7 @@
   #schedulePoll(): void {
     this.#timer = this.#opts.clock.after(POLL_INTERVAL_MS, () => {
       this.#schedulePoll();
-      void this.look();
+      void this.reload();
     });
   }
 }
--- a/src/edge/settings_watch_test.ts
+++ b/src/edge/settings_watcher_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { err, ok, type Result } from "neverthrow";
 import { type Failure, failure, ManualClock, SilentLog } from "../core/mod.ts";
-import { SettingsWatch } from "./settings_watch.ts";
+import { SettingsWatcher } from "./settings_watcher.ts";
 
 function watch(texts: readonly (string | Failure)[]) {
   const seen: string[] = [];
@@ -11,11 +11,11 @@
     return Promise.resolve(typeof next === "string" ? ok(next) : err(next));
   };
   const clock = new ManualClock();
-  const settings = new SettingsWatch("first", {
+  const settings = new SettingsWatcher("first", {
     read,
     parse: (text) =>
       text === "" ? err(failure("bad_settings", "empty")) : ok(text),
-    changed: (text) => seen.push(text),
+    onChange: (text) => seen.push(text),
     clock,
     log: new SilentLog(),
   });
@@ -24,7 +24,7 @@
 
 test("changed settings are applied once", async (t) => {
   const { settings, seen } = watch(["first", "second", "second"]);
-  for (let i = 0; i < 3; i++) await settings.look();
+  for (let i = 0; i < 3; i++) await settings.reload();
   t.deepEqual(seen, ["second"]);
 });
 
@@ -32,7 +32,7 @@
   // The file is read while an operator's tool writes it, and is incomplete.
   const gone = failure("bad_settings", "no such file");
   const { settings, seen } = watch(["", gone, "second"]);
-  for (let i = 0; i < 3; i++) await settings.look();
+  for (let i = 0; i < 3; i++) await settings.reload();
   t.deepEqual(seen, ["second"]);
 });
 
--- a/src/edge/testing/plain_codec.ts
+++ b/src/edge/testing/plain_codec.ts
@@ -6,19 +6,19 @@
 import type { Failure } from "../../core/mod.ts";
 import { headerOf } from "../header_fields.ts";
 import type {
-  AnswerFields,
-  CallerFields,
   EndpointFields,
-  OwnAnswer,
+  LocalReply,
   RawHeaders,
   RequestCodec,
+  RequestFields,
+  ResponseFields,
 } from "../request_codec.ts";
 
 const MISDIRECTED_STATUS = 421;
 
 /** Reads and writes `id`, `object`, `patience`, `key`, `not-run`, `signed`. */
 export class PlainCodec implements RequestCodec {
-  readCaller(url: string, headers: RawHeaders): CallerFields {
+  readRequest(url: string, headers: RawHeaders): RequestFields {
     const timeout = headerOf(headers, "patience");
     return {
       requestId: headerOf(headers, "id") ?? "",
@@ -44,7 +44,7 @@
     ];
   }
 
-  readAnswer(status: number, headers: RawHeaders): AnswerFields {
+  readResponse(status: number, headers: RawHeaders): ResponseFields {
     const keepAlive = headerOf(headers, "keep");
     return {
       requestId: headerOf(headers, "id"),
@@ -61,7 +61,7 @@
     return ["id", headerOf(headers, "id") ?? "", "signed", "yes"];
   }
 
-  refusal(failure: Failure, requestId: string): OwnAnswer {
+  refusal(failure: Failure, requestId: string): LocalReply {
     const statuses: Record<string, number> = {
       rate_exceeded: 429,
       no_capacity: 503,
--- a/src/edge/testing/scripted_sender.ts
+++ b/src/edge/testing/scripted_sender.ts
@@ -11,9 +11,9 @@
   PendingSend,
   SendResult,
 } from "../endpoint_sender.ts";
-import type { AnswerFields } from "../request_codec.ts";
+import type { ResponseFields } from "../request_codec.ts";
 
-const FIELDS: AnswerFields = {
+const FIELDS: ResponseFields = {
   requestId: "q1",
   notRun: false,
   moved: false,
@@ -26,7 +26,7 @@
 /** A response with this status. */
 export function responded(
   status = 200,
-  fields: Partial<AnswerFields> = {},
+  fields: Partial<ResponseFields> = {},
 ): SendResult {
   return {
     kind: "answer",
@@ -38,7 +38,7 @@
 }
 
 /** A refusal that states that the request did not run. */
-export function shed(fields: Partial<AnswerFields> = {}): SendResult {
+export function shed(fields: Partial<ResponseFields> = {}): SendResult {
   const moved = fields.moved ?? false;
   return { kind: "not-run", moved, fields: { ...FIELDS, ...fields } };
 }
--- a/tools/bench/fleet.ts
+++ b/tools/bench/fleet.ts
@@ -94,7 +94,7 @@
   member.consumer = {
     reported: (news, now) => {
       quotas.applyReport({ ...news, instance: news.group }, news.uses, now);
-      load.reported(news.group, news.inFlight);
+      load.applyReport(news.group, news.inFlight);
     },
     report: (now) => {
       for (let i = 0; i < busy; i++) {
