--- a/src/edge/settings_watcher.ts
+++ b/src/edge/settings_watcher.ts
@@ -11,7 +11,7 @@
 /** Poll interval in the absence of a signal, in milliseconds. */
 const POLL_INTERVAL_MS = 5_000;
 
-/** Dependencies of a settings watch. */
+/** Dependencies of a settings watcher. */
 export interface SettingsWatcherOptions<T> {
   /** Reads the settings as text. */
   readonly read: () => Promise<Result<string, Failure>>;
@@ -37,7 +37,7 @@
 
   /** Checks now; unreadable settings leave the previous ones in force. */
   async reload(): Promise<void> {
-    const { read, parse, onChange: changed, log } = this.#opts;
+    const { read, parse, onChange, log } = this.#opts;
     const text = await read();
     if (text.isOk() && text.value === this.#currentText) return;
     const settings = text.andThen(parse);
@@ -46,7 +46,7 @@
       return;
     }
     if (text.isOk()) this.#currentText = text.value;
-    changed(settings.value);
+    onChange(settings.value);
   }
 
   close(): void {
