--- a/src/core/cancel_signal.ts
+++ b/src/core/cancel_signal.ts
@@ -1,8 +1,8 @@
 /**
  * Cancellation of one request.
  *
- * An `AbortController` a request is a tenth of what a request costs an instance
- * that has not run it often; this has the part of its interface that is used.
+ * Creating an `AbortController` for each request is a tenth of a request's cost
+ * on a recently started instance; this implements only the interface in use.
  *
  * @module
  */
@@ -18,7 +18,7 @@
   removeEventListener(type: "abort", listener: () => void): void;
 }
 
-/** A signal that its owner aborts, once. */
+/** A signal that its owner aborts at most once. */
 export class CancelSource implements CancelSignal {
   readonly #listeners = new Set<() => void>();
   #aborted = false;
@@ -27,7 +27,7 @@
     return this.#aborted;
   }
 
-  /** Listeners are called once: the signal aborts once. */
+  /** Each listener is called at most once, as the signal aborts once. */
   addEventListener(_type: "abort", listener: () => void): void {
     this.#listeners.add(listener);
   }
@@ -37,12 +37,12 @@
   }
 
   /**
-   * Calls the listeners.
+   * Aborts the signal and calls its listeners; later calls do nothing.
    *
    * @example
    * ```ts
-   * const left = new CancelSource();
-   * res.once("close", () => left.abort());
+   * const cancel = new CancelSource();
+   * res.once("close", () => cancel.abort());
    * ```
    */
   abort(): void {
--- a/src/core/cancel_signal_test.ts
+++ b/src/core/cancel_signal_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { CancelSource } from "./mod.ts";
 
-test("listeners are called once, and those that were removed are not", (t) => {
+test("abort calls each listener once and skips removed ones", (t) => {
   const source = new CancelSource();
   const calls: string[] = [];
   const removed = () => calls.push("removed");
--- a/src/core/clock.ts
+++ b/src/core/clock.ts
@@ -1,5 +1,5 @@
 /**
- * Time as a thing handed in, so that a test moves it and a pause shows.
+ * An injectable clock: tests advance it, and process pauses can be detected.
  *
  * @module
  */
@@ -12,15 +12,15 @@
 
 /** Source of time and timers. */
 export interface Clock {
-  /** Milliseconds on a clock that never goes back; leases are judged by it. */
+  /** Monotonic time in milliseconds; leases are checked against it. */
   now(): number;
-  /** Milliseconds since the Unix epoch, for people and logs only. */
+  /** Milliseconds since the Unix epoch, for display and logs only. */
   wall(): number;
-  /** Calls back once after `ms` milliseconds. */
+  /** Calls `run` once after `ms` milliseconds. */
   after(ms: number, run: () => void): Timer;
 }
 
-/** The machine's clock. */
+/** The system clock. */
 export class SystemClock implements Clock {
   now(): number {
     return performance.now();
@@ -43,7 +43,7 @@
 }
 
 /**
- * A clock that stands still until it is moved; timers run in order of time.
+ * A clock that only moves when advanced; timers run in order of due time.
  *
  * @example
  * ```ts
@@ -75,17 +75,17 @@
     };
   }
 
-  /** Moves time on by `ms` milliseconds, running what falls due. */
+  /** Advances time by `ms` milliseconds and runs the timers that become due. */
   advance(ms: number): void {
     const end = this.#now + ms;
-    for (let next = this.#take(end); next; next = this.#take(end)) {
+    for (let next = this.#takeDue(end); next; next = this.#takeDue(end)) {
       this.#now = next.due;
       next.run();
     }
     this.#now = end;
   }
 
-  #take(end: number): PendingTimer | undefined {
+  #takeDue(end: number): PendingTimer | undefined {
     const due = this.#pending.filter((p) => p.due <= end)
       .sort((a, b) => a.due - b.due || a.order - b.order)[0];
     if (due) this.#pending = this.#pending.filter((p) => p !== due);
@@ -93,7 +93,7 @@
   }
 }
 
-/** Resolves after `ms` milliseconds of `clock`. */
+/** Resolves after `ms` milliseconds on `clock`. */
 export function sleep(clock: Clock, ms: number): Promise<void> {
   return new Promise((resolve) => clock.after(ms, resolve));
 }
--- a/src/core/connect_limit.ts
+++ b/src/core/connect_limit.ts
@@ -1,5 +1,5 @@
 /**
- * A time limit for opening a connection.
+ * A connect timeout for sockets.
  *
  * @module
  */
@@ -7,9 +7,9 @@
 import type { Clock } from "./clock.ts";
 
 /**
- * Destroys a socket that does not connect in time.
+ * Destroys a socket that has not connected within `ms`.
  *
- * @param ms How long it may take, in milliseconds.
+ * @param ms The connect timeout in milliseconds.
  *
  * @example
  * ```ts
@@ -19,7 +19,7 @@
 export function limitConnect(socket: Socket, ms: number, clock: Clock): void {
   const timer = clock.after(
     ms,
-    () => void socket.destroy(new Error("the connection does not open")),
+    () => void socket.destroy(new Error("connect timed out")),
   );
   socket.once("connect", () => timer.close());
   socket.once("close", () => timer.close());
--- a/src/core/deadline.ts
+++ b/src/core/deadline.ts
@@ -2,24 +2,24 @@
  * A time limit as an abort signal.
  *
  * `AbortSignal.any([parent, AbortSignal.timeout(ms)])` holds its sources
- * weakly: on Node.js 20 the collector may take the timeout away, and a call to
- * a server that hangs then waits for ever. One would notice calls that outlive
- * their limit, only in processes that collect garbage meanwhile. The timer here
- * holds what it aborts.
+ * weakly: on Node.js 20 the timeout may be garbage-collected, and a call to a
+ * server that hangs then never ends. It happens only in processes that collect
+ * garbage during the call. The timer here keeps a strong reference to the
+ * controller it aborts.
  *
  * @module
  */
 
-/** A running time limit; `close` ends it without aborting. */
+/** A running timeout; `close` cancels it without aborting. */
 export class Deadline {
   readonly #abort = new AbortController();
   readonly #parent: AbortSignal | undefined;
   readonly #timer: NodeJS.Timeout;
-  readonly #onParent = () => this.#abort.abort(this.#parent?.reason);
+  readonly #onParentAbort = () => this.#abort.abort(this.#parent?.reason);
   #expired = false;
 
   /**
-   * Aborts after `ms` milliseconds, or when `parent` does.
+   * Aborts after `ms` milliseconds or when `parent` aborts.
    *
    * @example
    * ```ts
@@ -32,27 +32,27 @@
     this.#parent = parent;
     this.#timer = setTimeout(() => this.#expire(), Math.max(1, Math.ceil(ms)));
     this.#timer.unref();
-    if (parent?.aborted) this.#onParent();
-    else parent?.addEventListener("abort", this.#onParent, { once: true });
+    if (parent?.aborted) this.#onParentAbort();
+    else parent?.addEventListener("abort", this.#onParentAbort, { once: true });
   }
 
   get signal(): AbortSignal {
     return this.#abort.signal;
   }
 
-  /** Whether time ran out, as opposed to the parent's abort. */
+  /** Whether the timeout expired, as opposed to the parent aborting. */
   get expired(): boolean {
     return this.#expired;
   }
 
   close(): void {
     clearTimeout(this.#timer);
-    this.#parent?.removeEventListener("abort", this.#onParent);
+    this.#parent?.removeEventListener("abort", this.#onParentAbort);
   }
 
   #expire(): void {
     this.#expired = true;
     this.close();
-    this.#abort.abort(new DOMException("time ran out", "TimeoutError"));
+    this.#abort.abort(new DOMException("deadline exceeded", "TimeoutError"));
   }
 }
--- a/src/core/deadline_test.ts
+++ b/src/core/deadline_test.ts
@@ -3,9 +3,9 @@
 import { runInNewContext } from "node:vm";
 import { Deadline } from "./deadline.ts";
 
-test("a time limit that nobody but its listener holds", async (t) => {
-  // The collector runs while a call waits for a server that hangs. With
-  // AbortSignal.any the limit was collected, and the call never ended.
+test("a deadline referenced only by its listener still aborts", async (t) => {
+  // Garbage is collected while a call waits for a server that hangs. With
+  // AbortSignal.any the timeout was collected and the call never ended.
   setFlagsFromString("--expose-gc");
   const gc = runInNewContext("gc") as () => void;
   const parent = new AbortController();
@@ -19,7 +19,7 @@
   t.pass();
 });
 
-test("the parent's abort is not an expiry", (t) => {
+test("a parent abort does not count as expiry", (t) => {
   const parent = new AbortController();
   const deadline = new Deadline(60_000, parent.signal);
   parent.abort();
--- a/src/core/failure.ts
+++ b/src/core/failure.ts
@@ -1,7 +1,7 @@
 /**
- * Failures as data: a code that programs test, a path that says where, and a
- * message for people. Nothing in the library throws across its boundary; it
- * returns a `Result` of neverthrow with a {@link Failure}.
+ * Failures as values: a code for programs, a path to the faulty value and a
+ * message for people. The library does not throw across its boundary; it
+ * returns a neverthrow `Result` with a {@link Failure}.
  *
  * @module
  */
@@ -25,11 +25,11 @@
   | "deadline_exceeded"
   | "cancelled"
   | "outcome_unknown"
-  /** Not run, and no attempt under the same id and home will run. */
+  /** Not run, and no attempt with the same id and home will run. */
   | "operation_refused"
   | "endpoint_failed"
   | "platform_unavailable"
-  /** The store has dropped the history that a watch asks for. */
+  /** The store has compacted the history that a watch requests. */
   | "history_lost"
   | "platform_outcome_unknown"
   | "value_too_large"
@@ -37,20 +37,20 @@
   | "no_answer"
   | "not_ready"
   | "leaving"
-  /** The zone cannot learn whether the account's key was withdrawn. */
+  /** The zone cannot find out whether the account's key was revoked. */
   | "cut_off"
   | "internal";
 
 /**
- * What is known of a refused request: `not-run` only where no byte of it can
- * have reached an endpoint or the endpoint said so; otherwise `unknown`.
+ * Whether a failed request may have run: `not-run` only if no byte of it can
+ * have reached an endpoint or the endpoint reported so; otherwise `unknown`.
  */
 export type Outcome = "not-run" | "unknown";
 
-/** Where in a value something is wrong, outermost first. */
+/** Path to the faulty part of a value, outermost key first. */
 export type FailurePath = readonly (string | number)[];
 
-/** Who changed something first, and when. */
+/** The author, version and time of a conflicting change. */
 export interface OtherChange {
   readonly author: string;
   readonly version: number;
@@ -64,21 +64,21 @@
   readonly message: string;
   readonly path: FailurePath;
   readonly outcome?: Outcome;
-  /** When to come back, in milliseconds from now. */
+  /** When to retry, in milliseconds from now. */
   readonly retryAfterMs?: number;
-  /** The other change that a `conflict` lost against. */
+  /** For a `conflict`, the change that was written first. */
   readonly change?: OtherChange | undefined;
-  /** Further failures of the same value, as a schema check finds them. */
+  /** The individual failures of a value that were combined into this one. */
   readonly issues?: readonly Failure[];
 }
 
-/** What may be added to a failure beyond code and message. */
+/** Optional fields of a failure. */
 export type FailureDetails = Partial<
   Pick<Failure, "path" | "outcome" | "retryAfterMs" | "change" | "issues">
 >;
 
 /**
- * Makes a failure.
+ * Creates a failure.
  *
  * @example
  * ```ts
@@ -94,7 +94,7 @@
 }
 
 /**
- * Makes a failed `Result`.
+ * Creates a failed `Result`.
  *
  * @example
  * ```ts
@@ -110,8 +110,8 @@
 }
 
 /**
- * Turns what zod found into one failure whose `issues` keep each path. Parsed
- * with `reportInput`, each says what was found.
+ * Converts a zod error to one failure whose `issues` keep each path. If parsed
+ * with `reportInput`, each message includes the input.
  *
  * @example
  * ```ts
@@ -122,14 +122,14 @@
 export function fromZod(code: FailureCode, error: z.ZodError): Failure {
   const issues = error.issues.slice(0, MAX_ISSUES).map((issue) => {
     const path = issue.path.map(pathPart);
-    return failure(code, issue.message + found(issue, path), { path });
+    return failure(code, issue.message + describeInput(issue, path), { path });
   });
   return combine(code, issues);
 }
 
 /**
- * One failure for several: a single one stands for itself, more are told one
- * after another.
+ * Combines failures into one: a single failure keeps its message and path, the
+ * messages of several are joined.
  *
  * @example
  * ```ts
@@ -146,25 +146,25 @@
 }
 
 const MAX_ISSUES = 50;
-const MAX_SHOWN = 60;
-/** Fields into which somebody may have put a secret by mistake. */
+const MAX_INPUT_LENGTH = 60;
+/** Fields that may contain a secret entered by mistake. */
 const SENSITIVE = /sha256|secret|token|key/;
 
-/** Says what was found, but for what may be a secret pasted into a field. */
-function found(issue: z.core.$ZodIssue, path: FailurePath): string {
+/** Describes the input; only its length if it is long or may be secret. */
+function describeInput(issue: z.core.$ZodIssue, path: FailurePath): string {
   const { input } = issue;
   if (input === undefined || issue.code === "unrecognized_keys") return "";
   if (typeof input === "object") return "";
   const shown = String(input);
   const secret = path.some((part) => SENSITIVE.test(String(part)));
-  if (secret || shown.length > MAX_SHOWN) {
+  if (secret || shown.length > MAX_INPUT_LENGTH) {
     return `, found ${shown.length} characters`;
   }
   return `, found ${typeof input === "string" ? JSON.stringify(input) : shown}`;
 }
 
 /**
- * Writes a failure as one line for people.
+ * Formats a failure as one line for people.
  *
  * @example
  * ```ts
--- a/src/core/hash.ts
+++ b/src/core/hash.ts
@@ -1,16 +1,16 @@
 /**
- * A hash of short texts that every instance works out alike.
+ * A hash of short strings that is the same on every instance.
  *
  * @module
  */
 
 /**
- * FNV-1a with the finalizer of MurmurHash3, so that near names fall apart.
- * Synchronous, and without WebAssembly to compile at the start.
+ * FNV-1a with the MurmurHash3 finalizer, so that similar names get unrelated
+ * hashes. Synchronous, and needs no WebAssembly compilation at startup.
  *
  * @example
  * ```ts
- * hash("catalog-1"); // a whole number below 2^32
+ * hash("catalog-1"); // an integer below 2^32
  * ```
  */
 export function hash(text: string): number {
--- a/src/core/http_calls.ts
+++ b/src/core/http_calls.ts
@@ -1,8 +1,8 @@
 /**
- * Calls over HTTP/1.1 whose answers are held in memory.
+ * An HTTP/1.1 client that buffers responses in memory.
  *
- * They stand on the runtime's own client, which shares its code with the
- * server: an instance that restarts compiles one of them, not two.
+ * It uses the client of `node:http`, which shares code with the server, so that
+ * a restarting instance does not compile a second HTTP implementation.
  *
  * @module
  */
@@ -12,39 +12,39 @@
 import { limitConnect } from "./connect_limit.ts";
 import { Deadline } from "./deadline.ts";
 
-/** A call. */
+/** A request and its limits. */
 export interface HttpCall {
   readonly host: string;
   readonly port: number;
   readonly method: string;
   readonly path: string;
-  /** Sent as JSON. */
+  /** The request body, sent as JSON. */
   readonly json?: unknown;
-  /** How long the call may take, in milliseconds. */
+  /** Timeout for the whole call, in milliseconds. */
   readonly timeoutMs: number;
   readonly signal: AbortSignal;
 }
 
-/** An answer, read to its end. */
+/** A complete response. */
 export interface HttpReply {
   readonly status: number;
   readonly body: Buffer;
 }
 
-/** Makes calls on kept connections. */
+/** Sends requests over keep-alive connections. */
 export class HttpCalls {
   readonly #agent = new Agent({ keepAlive: true });
   readonly #clock = new SystemClock();
-  readonly #connectMs: number;
+  readonly #connectTimeoutMs: number;
 
-  /** @param connectMs How long a connection may take to open. */
-  constructor(connectMs: number) {
-    this.#connectMs = connectMs;
+  /** @param connectTimeoutMs The connect timeout in milliseconds. */
+  constructor(connectTimeoutMs: number) {
+    this.#connectTimeoutMs = connectTimeoutMs;
   }
 
   /**
-   * Rejects where no whole answer came in time; whether the call was carried
-   * out is then unknown.
+   * Rejects if no complete response arrives in time; it is then unknown whether
+   * the server processed the request.
    *
    * @example
    * ```ts
@@ -92,7 +92,7 @@
       req.on("error", reject);
       req.once("socket", (socket) => {
         if (!socket.connecting) return;
-        limitConnect(socket, this.#connectMs, this.#clock);
+        limitConnect(socket, this.#connectTimeoutMs, this.#clock);
       });
       req.end(body);
     });
--- a/src/core/http_calls_test.ts
+++ b/src/core/http_calls_test.ts
@@ -22,7 +22,7 @@
   };
 }
 
-test("a call gives status and body, and reuses its connection", async (t) => {
+test("a call returns status and body and reuses its connection", async (t) => {
   let connections = 0;
   const server = await serve((req, res) => res.end(`${req.method} ok`));
   server.on("connection", () => connections++);
@@ -37,8 +37,8 @@
   server.close();
 });
 
-// Guards against a caller that waits for ever on a server that hangs.
-test("a call that is not answered in time fails", async (t) => {
+// Guards against a call to a server that hangs never ending.
+test("a call without a response in time fails", async (t) => {
   const server = await serve(() => {});
   const calls = new HttpCalls(500);
   await t.throwsAsync(calls.call(callTo(server, { timeoutMs: 50 })));
@@ -47,8 +47,8 @@
   server.close();
 });
 
-// Guards against half an answer that is taken for the whole.
-test("an answer that breaks off fails the call", async (t) => {
+// Guards against treating a truncated response as complete.
+test("a truncated response fails the call", async (t) => {
   const server = await serve((_, res) => {
     res.writeHead(200, { "content-length": "10" });
     res.write("half", () => res.destroy());
--- a/src/core/ids.ts
+++ b/src/core/ids.ts
@@ -1,6 +1,6 @@
 /**
- * Branded identifiers: a plain string in memory, a type of its own to the
- * compiler, so that an account can never be passed where an endpoint is meant.
+ * Branded identifiers: plain strings at run time but distinct types, so that
+ * the compiler rejects an account id where an endpoint id is expected.
  *
  * @module
  */
@@ -15,39 +15,39 @@
   );
 }
 
-/** Names a client account, the tenant on whose behalf a request runs. */
+/** Identifies a client account, the tenant on whose behalf a request runs. */
 export const AccountId = id().brand<"AccountId">();
 export type AccountId = z.infer<typeof AccountId>;
 
-/** Names one endpoint of a service. */
+/** Identifies an endpoint of a service. */
 export const EndpointId = id().brand<"EndpointId">();
 export type EndpointId = z.infer<typeof EndpointId>;
 
-/** Names one entry instance of the system. */
+/** Identifies an entry instance. */
 export const InstanceId = id().brand<"InstanceId">();
 export type InstanceId = z.infer<typeof InstanceId>;
 
-/** Names a region. */
+/** Identifies a region. */
 export const RegionId = id().brand<"RegionId">();
 export type RegionId = z.infer<typeof RegionId>;
 
-/** Names an availability zone; unique over all regions. */
+/** Identifies an availability zone; unique across all regions. */
 export const ZoneId = id().brand<"ZoneId">();
 export type ZoneId = z.infer<typeof ZoneId>;
 
-/** Names a site: where a group of client addresses is. */
+/** Identifies a site, the location of a group of client addresses. */
 export const SiteId = id().brand<"SiteId">();
 export type SiteId = z.infer<typeof SiteId>;
 
-/** Names a service. */
+/** Identifies a service. */
 export const ServiceId = id().brand<"ServiceId">();
 export type ServiceId = z.infer<typeof ServiceId>;
 
-/** Names a key of a client account; never the key itself. */
+/** Identifies an API key of a client account; never the key itself. */
 export const KeyId = id().brand<"KeyId">();
 export type KeyId = z.infer<typeof KeyId>;
 
-/** Names one run of a request that is not idempotent. */
+/** Identifies one execution of a request that is not idempotent. */
 export const OperationId = z.string().min(1).max(200)
   .regex(/^[\x21-\x7e]+$/, "must be printable ASCII without spaces")
   .brand<"OperationId">();
--- a/src/core/log.ts
+++ b/src/core/log.ts
@@ -1,19 +1,19 @@
 /**
- * Logs: one line an event, with stable field names. Keys never go in.
+ * Structured logs: one line per event, stable field names, never an API key.
  *
  * @module
  */
 import debug from "debug";
 
-/** Values a log line may hold. */
+/** Fields of a log event. */
 export type LogFields = Readonly<
   Record<string, string | number | boolean | undefined>
 >;
 
-/** Receives events. */
+/** Receives log events. */
 export interface Log {
   event(name: string, fields?: LogFields): void;
-  /** A log for a part of the program, under its own namespace. */
+  /** A log for one component, under a nested namespace. */
   child(namespace: string): Log;
 }
 
@@ -37,7 +37,7 @@
   }
 }
 
-/** Drops every event; for tests that look elsewhere. */
+/** Discards every event; for tests that do not check logs. */
 export class SilentLog implements Log {
   event(): void {}
 
--- a/src/core/log_sampling.ts
+++ b/src/core/log_sampling.ts
@@ -1,16 +1,15 @@
 /**
- * Which requests that went well are logged.
+ * Log sampling of successful requests.
  *
  * @module
  */
 import { hash } from "./hash.ts";
 
-/** One in so many. */
-const ONE_IN = 64;
+const SAMPLE_ONE_IN = 64;
 
 /**
- * Whether a request that went well is logged. Goes by its id alone, so that
- * every instance which met a request keeps it or none does.
+ * Whether a successful request is logged. Depends only on the request id, so
+ * that either every instance on the request's path logs it or none does.
  *
  * @example
  * ```ts
@@ -18,5 +17,5 @@
  * ```
  */
 export function isSampled(requestId: string): boolean {
-  return hash(requestId) % ONE_IN === 0;
+  return hash(requestId) % SAMPLE_ONE_IN === 0;
 }
--- a/src/core/log_table.ts
+++ b/src/core/log_table.ts
@@ -1,20 +1,20 @@
 /**
- * Every log event by name; docs/LOGS.md is made from this table, and a test
- * holds it against the names and fields used in the code.
+ * Every log event by name; docs/LOGS.md is generated from this table, and
+ * tests check it against the names and fields used in the code.
  *
  * @module
  */
 
-/** What an event is. */
+/** Describes a log event. */
 export interface LogEntry {
-  /** Under `magnoliahook:`; none for the namespace itself. */
+  /** Namespace under `magnoliahook:`; empty for `magnoliahook` itself. */
   readonly namespace: string;
   readonly fields: readonly string[];
   readonly help: string;
 }
 
-/** What is said of a request's way, however it ended. */
-const WAY_FIELDS = [
+/** Fields about a request's routing, whatever its outcome. */
+const COMMON_REQUEST_FIELDS = [
   "request",
   "route",
   "account",
@@ -26,113 +26,118 @@
   "leftMs",
 ] as const;
 
-/** Every event. */
+/** Every log event. */
 export const LOG_TABLE: Readonly<Record<string, LogEntry>> = {
   budget_suspended: {
     namespace: "budgets",
     fields: ["account", "reason"],
     help:
-      "A fault of the program: what this instance holds of an account's rate passes the whole, so it gives none of it out until it fits",
+      "An internal error: this instance's share of an account's rate exceeds the whole rate, so it grants and lends nothing of that account's rate until the share fits again",
   },
   burn_write_failed: {
     namespace: "burn",
     fields: ["code"],
-    help: "A summary of burn counts was not written; the next brings it",
+    help:
+      "A summary of burn counts was not written; the next summary includes its counts",
   },
   datagram_too_long: {
     namespace: "fleet",
     fields: ["sort", "bytes"],
     help:
-      "A datagram to other instances is longer than any may be and was not sent; logged once",
+      "A datagram to other instances exceeds the maximum length and was not sent; logged once",
   },
   digest_rejected: {
     namespace: "fleet",
     fields: ["reason"],
-    help: "The first datagram that was no digest; further ones are not logged",
+    help:
+      "The first datagram that could not be decoded as a digest; further ones are not logged",
   },
   document_in_force: {
     namespace: "document",
     fields: ["generation", "rejected"],
-    help: "A generation came in force; rejected counts what of it did not",
+    help:
+      "A document generation took effect; rejected counts its parts that did not",
   },
   document_load_failed: {
     namespace: "document",
     fields: ["code"],
-    help: "A section's content could not be had",
+    help: "The content of a section could not be fetched",
   },
   document_rejected: {
     namespace: "document",
     fields: ["generation"],
-    help: "A generation cannot be put in force here at all",
+    help: "This instance rejected a whole document generation",
   },
   document_watch_failed: {
     namespace: "document",
     fields: ["code"],
-    help: "The manifest could not be watched; polling goes on",
+    help: "The manifest could not be watched; polling continues",
   },
   endpoint_changed: {
     namespace: "steering",
     fields: ["endpoint", "service", "zone", "draining", "coldMs"],
-    help: "An endpoint registered, started anew, began to drain or turned cold",
+    help: "An endpoint registered, restarted, began to drain or became cold",
   },
   endpoint_limit_changed: {
     namespace: "steering",
     fields: ["endpoint", "ratePerS", "source"],
     help:
-      "The requests a second that an endpoint takes from all instances; without ratePerS it takes what comes. Source is answer, end, or the group of instances that reported it",
+      "An endpoint's limit on requests per second from all instances changed; without ratePerS it has none. Source is answer, end, or the group of instances that reported it",
   },
   endpoint_limit_unreadable: {
     namespace: "steering",
     fields: ["endpoint"],
     help:
-      "An endpoint's limit is no rate; what was known of it holds. Logged once until it can be read",
+      "An endpoint announced a limit that is not a valid rate; the last known limit stays in effect. Logged once until a valid one is read",
   },
   endpoint_removed: {
     namespace: "steering",
     fields: ["endpoint", "reason"],
     help:
-      "An endpoint is used no more; lapsed means that its entry stayed away after the store was back",
+      "An endpoint is no longer used; lapsed means that its entry was still missing after the store recovered",
   },
   endpoint_unreadable: {
     namespace: "steering",
     fields: ["endpoint"],
-    help: "An entry that names no endpoint to use",
+    help:
+      "An endpoint's entry in the store could not be parsed; the endpoint is not used",
   },
   instance_started: {
     namespace: "",
     fields: ["instance"],
-    help: "The listeners are open and the first document was looked for",
+    help:
+      "The listeners are open and the first fetch of the document was attempted",
   },
   instances_listed: {
     namespace: "fleet",
     fields: ["instances"],
-    help: "This instance is on the list of instances and has read it",
+    help: "This instance has registered in the instance list and read it",
   },
   instances_unlisted: {
     namespace: "fleet",
     fields: ["code"],
-    help:
-      "The list of instances could not be written or read; it is tried again",
+    help: "The instance list could not be written or read; retrying",
   },
   kind_fetched: {
     namespace: "steering",
     fields: ["kind", "revision"],
-    help: "What was missing of a kind of object was had from another instance",
+    help: "The objects of a kind were fetched from another instance",
   },
   lines_left_out: {
     namespace: "",
     fields: ["lines"],
-    help: "Lines that the last second left out, to bound the volume",
+    help: "Number of log lines dropped in the last second to limit the volume",
   },
   operations_handed_over: {
     namespace: "operations",
     fields: ["heir"],
-    help: "At a stop, the ledger went to another instance",
+    help:
+      "On shutdown, the operation ledger was handed over to the instance heir; without heir no instance took it",
   },
   peer_removed: {
     namespace: "fleet",
     fields: ["peer"],
-    help: "An unreachable instance is taken to have ended",
+    help: "An unreachable instance is considered dead and was removed",
   },
   peer_unavailable: {
     namespace: "peers",
@@ -142,43 +147,45 @@
   peer_unreachable: {
     namespace: "fleet",
     fields: ["peer"],
-    help: "An instance is not heard; callers are not sent there",
+    help:
+      "No gossip is received from an instance; requests are not forwarded to it",
   },
   roles_changed: {
     namespace: "fleet",
     fields: ["relay", "storeWatcher"],
     help:
-      "Whether this instance relays for its zone and watches the store for it",
+      "Whether this instance relays gossip and watches the store for its zone",
   },
   plan_in_force: {
     namespace: "steering",
     fields: ["plan", "routes", "accounts"],
-    help: "A plan came in force",
+    help: "A plan took effect",
   },
   plan_missing: {
     namespace: "steering",
     fields: ["name", "plan"],
-    help: "The plan was taken away; the last one stays in force",
+    help: "The plan was deleted; the last one stays in effect",
   },
   plan_unreadable: {
     namespace: "steering",
     fields: ["name"],
-    help: "A plan that cannot be read; the last one stays in force",
+    help: "A plan cannot be parsed; the last one stays in effect",
   },
   request_answered: {
     namespace: "requests",
     fields: [
-      ...WAY_FIELDS,
+      ...COMMON_REQUEST_FIELDS,
       "endpoint",
       "status",
       "tookMs",
     ],
-    help: "A request was answered by an endpoint; one in 64 by its id",
+    help:
+      "An endpoint responded to a request; sampled at one in 64 by request id",
   },
   request_refused: {
     namespace: "requests",
     fields: [
-      ...WAY_FIELDS,
+      ...COMMON_REQUEST_FIELDS,
       "code",
       "outcome",
       "reason",
@@ -190,7 +197,7 @@
   seat_taken_over: {
     namespace: "seats",
     fields: ["index"],
-    help: "A silent instance's seat was taken over",
+    help: "The seat of an instance that stopped renewing it was taken over",
   },
   seats_store_failed: {
     namespace: "seats",
@@ -200,72 +207,74 @@
   settings_reloaded: {
     namespace: "",
     fields: ["graceMs", "retryRatio", "retrySlack"],
-    help: "Changed settings were read and are in force",
+    help: "Changed settings were read and are in effect",
   },
   settings_unreadable: {
     namespace: "",
     fields: ["reason"],
-    help: "Changed settings cannot be read; the ones before stay in force",
+    help: "Changed settings cannot be read; the previous ones stay in effect",
   },
   stop_begun: {
     namespace: "",
     fields: ["graceMs"],
-    help: "The stop began",
+    help: "Shutdown began",
   },
   stop_step: {
     namespace: "",
     fields: ["step", "done"],
-    help: "A step of the stop has ended; not done means it took too long",
+    help: "A shutdown step ended; done is false if it timed out",
   },
   stopped: {
     namespace: "",
     fields: ["tookMs"],
-    help: "The stop has ended",
+    help: "Shutdown is complete",
   },
   store_history_lost: {
     namespace: "steering",
     fields: ["kind"],
-    help: "The store dropped the history of a kind; all of it is read again",
+    help:
+      "The store compacted the history of a kind; all its objects are read again",
   },
   store_lost: {
     namespace: "steering",
     fields: ["kind", "code"],
-    help: "The store does not answer for a kind of object",
+    help: "The store does not respond for a kind of object",
   },
   store_regained: {
     namespace: "steering",
     fields: ["kind", "lostMs"],
-    help: "The store answers again for a kind of object",
+    help: "The store responds again for a kind of object",
   },
   request_handler_failed: {
     namespace: "requests",
     fields: ["cause"],
     help:
-      "A fault of the program ended a request; its connection was closed, the others go on",
+      "An internal error ended a request; its connection was closed, other requests continue",
   },
   system_failed: {
     namespace: "",
     fields: ["system", "cause"],
-    help: "A system threw in its tick; the others went on",
+    help: "A periodic task threw an error; the remaining tasks ran",
   },
   tls_reload_failed: {
     namespace: "tls",
     fields: ["file"],
-    help: "A replaced certificate cannot be used; the old one stays",
+    help:
+      "A replaced certificate cannot be used; the previous one stays in use",
   },
   tls_reloaded: {
     namespace: "tls",
     fields: ["file"],
-    help: "A replaced certificate holds for new connections",
+    help: "A replaced certificate is used for new connections",
   },
   zone_evacuated: {
     namespace: "steering",
     fields: ["zone"],
-    help: "A zone's endpoints get no new requests",
+    help: "A zone was evacuated: its endpoints receive no new requests",
   },
   zone_restored: {
     namespace: "steering",
     fields: ["zone"],
-    help: "A zone's endpoints get requests again",
+    help: "A zone's evacuation ended: its endpoints receive requests again",
   },
 };
--- a/src/core/metric_table.ts
+++ b/src/core/metric_table.ts
@@ -1,11 +1,11 @@
 /**
- * Every metric by name; docs/METRICS.md is made from this table, and a test
- * holds it against the names used in the code.
+ * Every metric by name; docs/METRICS.md is generated from this table,
+ * and tests check it against the names, types and tags used in the code.
  *
  * @module
  */
 
-/** What a metric is. */
+/** Describes a metric. */
 export interface MetricEntry {
   readonly type: "count" | "gauge" | "timing";
   readonly unit: string;
@@ -13,7 +13,7 @@
   readonly help: string;
 }
 
-/** Every metric; the prefix `magnoliahook.` is added when it is sent. */
+/** Every metric; names are sent with the prefix `magnoliahook.`. */
 export const METRIC_TABLE: Readonly<Record<string, MetricEntry>> = {
   "burn.writes": {
     type: "count",
@@ -25,55 +25,61 @@
     type: "timing",
     unit: "ms",
     tags: ["kind", "id"],
-    help: "From a drain's coming in force to the end of its last request here",
+    help:
+      "Time from when a drain takes effect until its last request on this instance ends",
   },
   "endpoint.duration": {
     type: "timing",
     unit: "ms",
     tags: ["service"],
-    help: "From sending a request to an endpoint to what became of it",
+    help:
+      "Duration of an attempt at an endpoint, from sending the request to its outcome",
   },
   "endpoint.limit": {
     type: "gauge",
     unit: "requests/s",
     tags: ["endpoint"],
-    help: "Rate that an endpoint takes from all instances; 0 without a limit",
+    help:
+      "An endpoint's rate limit for all instances together; 0 without a limit",
   },
   "endpoint.limited": {
     type: "count",
     unit: "requests",
     tags: ["endpoint", "result"],
-    help: "Requests for endpoints with a limit",
+    help:
+      "Requests to rate-limited endpoints, by whether they were sent or withheld",
   },
   "endpoint.drain": {
     type: "timing",
     unit: "ms",
     tags: ["endpoint"],
-    help: "From an endpoint's drain to the end of its last request here",
+    help:
+      "Time from the start of an endpoint's drain until its last request on this instance ends",
   },
   "forwarded": {
     type: "count",
     unit: "requests",
     tags: ["result"],
-    help: "Requests taken from another instance for an endpoint of this zone",
+    help: "Requests forwarded by another instance to an endpoint of this zone",
   },
   "operations.answer_bytes": {
     type: "gauge",
     unit: "bytes",
     tags: [],
-    help: "Recorded answers held for repeated attempts",
+    help: "Size of the recorded responses kept for repeated attempts",
   },
   "operations.forwarded": {
     type: "count",
     unit: "operations",
     tags: [],
-    help: "Operations sent on to the instance that is their home",
+    help: "Operations forwarded to their home instance",
   },
   "operations.owner_lost": {
     type: "count",
     unit: "operations",
     tags: [],
-    help: "Homes whose owner was given up as lost",
+    help:
+      "Operations whose record was queried at another replica, as the home's owner was lost",
   },
   "operations.records": {
     type: "gauge",
@@ -86,44 +92,43 @@
     unit: "operations",
     tags: [],
     help:
-      "Operations refused as not run, since no second place took the record",
+      "Operations refused without being run, for example as no second instance stored the record",
   },
   "operations.repeated": {
     type: "count",
     unit: "operations",
     tags: [],
-    help: "Attempts answered from the record of an earlier one",
+    help: "Attempts answered from the recorded response to an earlier one",
   },
   "operations.second_place": {
     type: "timing",
     unit: "ms",
     tags: [],
-    help: "Time until a second place has the record, before dispatch",
+    help: "Time to store the record on a second instance before dispatch",
   },
   "plan.in_force": {
     type: "gauge",
     unit: "version",
     tags: [],
-    help:
-      "Version of the plan that requests are steered by; 0 before the first",
+    help: "Version of the plan in effect; 0 before the first",
   },
   "platform.calls": {
     type: "count",
     unit: "calls",
     tags: ["call"],
-    help: "Calls to the platform; a waiting watch is one",
+    help: "Calls to the platform; a long-polling watch counts as one",
   },
   "platform.errors": {
     type: "count",
     unit: "calls",
     tags: ["call"],
-    help: "Calls to the platform that were not answered",
+    help: "Calls to the platform that got no response",
   },
   "probe.duration": {
     type: "timing",
     unit: "ms",
     tags: [],
-    help: "How long an endpoint's health probe took",
+    help: "Duration of an endpoint's health probe",
   },
   "probes": {
     type: "count",
@@ -135,32 +140,32 @@
     type: "timing",
     unit: "ms",
     tags: [],
-    help: "From a request's arrival to its refusal or failure",
+    help: "Time from a request's arrival to its refusal or failure",
   },
   "request.duration": {
     type: "timing",
     unit: "ms",
     tags: ["service"],
-    help: "From a request's arrival to the end of its answer",
+    help: "Time from a request's arrival to the end of its response",
   },
   "requests": {
     type: "count",
     unit: "requests",
     tags: ["service", "result"],
     help:
-      "Requests of callers by result: ok or a failure code; service is unknown where the document has none of that name",
+      "Requests from callers by result: ok or a failure code; service is unknown if the document does not list it",
   },
   "seats.held": {
     type: "gauge",
     unit: "seats",
     tags: [],
-    help: "Seats this instance surely holds",
+    help: "Seats whose lease this instance holds",
   },
   "seats.takeovers": {
     type: "count",
     unit: "seats",
     tags: [],
-    help: "Seats taken over from an instance that was silent",
+    help: "Seats taken over from an instance that stopped renewing them",
   },
   "seats.writes": {
     type: "count",
@@ -173,6 +178,6 @@
     unit: "flag",
     tags: ["digest"],
     help:
-      "1 for the settings in force, by the first digits of the file's SHA-256; 0 for earlier ones",
+      "1 for the settings in effect, tagged with the first digits of the file's SHA-256; 0 for earlier ones",
   },
 };
--- a/src/core/metrics.ts
+++ b/src/core/metrics.ts
@@ -1,5 +1,5 @@
 /**
- * Metrics as an interface, so that tests count and daemons send by StatsD.
+ * Metrics interface, kept in memory by tests and sent over StatsD by daemons.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 /** Labels of a metric. */
 export type Tags = Readonly<Record<string, string>>;
 
-/** Receives metrics; names and units stand in docs/METRICS.md. */
+/** Receives metrics; names and units are listed in docs/METRICS.md. */
 export interface Metrics {
   count(name: string, tags?: Tags, by?: number): void;
   gauge(name: string, value: number, tags?: Tags): void;
@@ -18,7 +18,7 @@
   close(): Promise<void>;
 }
 
-/** Keeps sums in memory; for tests and for reports within one process. */
+/** Aggregates metrics in memory; for tests and in-process reports. */
 export class MemoryMetrics implements Metrics {
   readonly counts: Map<string, number> = new Map();
   readonly gauges: Map<string, number> = new Map();
@@ -40,7 +40,7 @@
   }
 }
 
-/** Sends metrics by StatsD over UDP. */
+/** Sends metrics to a StatsD server over UDP. */
 export class StatsdMetrics implements Metrics {
   readonly #client: StatsD;
 
--- a/src/core/mod.ts
+++ b/src/core/mod.ts
@@ -1,6 +1,6 @@
 /**
- * What every other module stands on: ids, failures, time, random numbers,
- * logs and metrics.
+ * Foundation of all other modules: ids, failures, time, random numbers, logs
+ * and metrics.
  *
  * @module
  */
--- a/src/core/names_test.ts
+++ b/src/core/names_test.ts
@@ -15,7 +15,7 @@
   return await Promise.all(used.map((f) => readFile(join(ROOT, f), "utf8")));
 }
 
-test("metrics in the code and in METRIC_TABLE (core/metric_table.ts) are the same", async (t) => {
+test("METRIC_TABLE (core/metric_table.ts) lists exactly the metrics in the code", async (t) => {
   const used = new Map<string, string>();
   for (const text of await sources()) {
     for (const [, type = "", name = ""] of text.matchAll(METRIC)) {
@@ -26,7 +26,7 @@
   t.deepEqual(Object.fromEntries([...used].sort()), Object.fromEntries(listed));
 });
 
-test("events in the code and in LOG_TABLE (core/log_table.ts) are the same", async (t) => {
+test("LOG_TABLE (core/log_table.ts) lists exactly the events in the code", async (t) => {
   const used = new Set<string>();
   for (const text of await sources()) {
     for (const [, name = ""] of text.matchAll(EVENT)) used.add(name);
--- a/src/core/packed_json.ts
+++ b/src/core/packed_json.ts
@@ -1,24 +1,24 @@
 /**
- * Values as compressed JSON, for messages in which names recur.
+ * Deflate-compressed JSON, for messages with many repeated names.
  *
  * @module
  */
 import { Buffer } from "node:buffer";
 import { deflateRawSync, inflateRawSync } from "node:zlib";
 
-/** The fastest level: higher ones save a tenth of the bytes at most. */
-const LEVEL = 1;
+/** The fastest level; higher ones save at most a tenth of the bytes. */
+const COMPRESSION_LEVEL = 1;
 
-/** Writes a value. */
+/** Encodes a value. */
 export function packJson(value: unknown): Buffer {
-  return deflateRawSync(JSON.stringify(value), { level: LEVEL });
+  return deflateRawSync(JSON.stringify(value), { level: COMPRESSION_LEVEL });
 }
 
 /**
- * Reads a value; throws where the bytes hold none, or one of more than
- * `mostBytes` unpacked.
+ * Decodes a value; throws if the bytes are invalid or decompress to more than
+ * `maxBytes`.
  */
-export function unpackJson(bytes: Uint8Array, mostBytes?: number): unknown {
-  const limit = mostBytes === undefined ? {} : { maxOutputLength: mostBytes };
+export function unpackJson(bytes: Uint8Array, maxBytes?: number): unknown {
+  const limit = maxBytes === undefined ? {} : { maxOutputLength: maxBytes };
   return JSON.parse(inflateRawSync(bytes, limit).toString("utf8"));
 }
--- a/src/core/random.ts
+++ b/src/core/random.ts
@@ -1,5 +1,5 @@
 /**
- * Random numbers as a thing handed in, so that a seed repeats a run.
+ * Injectable random numbers, so that a run can be reproduced from its seed.
  *
  * @module
  */
@@ -11,33 +11,34 @@
 export interface Random {
   /** A number in [0, 1). */
   next(): number;
-  /** A whole number in [0, bound). */
+  /** An integer in [0, bound). */
   below(bound: number): number;
   /** `bytes` random bytes as hexadecimal. */
   hex(bytes: number): string;
 }
 
 /**
- * Some of a list, as many as `most`: those that follow one chosen at random.
+ * Returns at most `maxCount` consecutive items, starting at a random position
+ * and wrapping around.
  *
  * @example
  * ```ts
- * someOf(["a", "b", "c"], 2, random); // ["c", "a"], say
+ * someOf(["a", "b", "c"], 2, random); // for example ["c", "a"]
  * ```
  */
 export function someOf<T>(
   list: readonly T[],
-  most: number,
+  maxCount: number,
   random: Random,
 ): T[] {
   if (list.length === 0) return [];
   const from = random.below(list.length);
-  return [...list.slice(from), ...list.slice(0, from)].slice(0, most);
+  return [...list.slice(from), ...list.slice(0, from)].slice(0, maxCount);
 }
 
-const STEPS = 0x7fffffff;
+const FRACTION_STEPS = 0x7fffffff;
 
-/** Repeatable numbers from a seed; for tests, soaks and decisions. */
+/** Reproducible numbers from a seed; for tests, soaks and decisions. */
 export class SeededRandom implements Random {
   readonly #generator;
 
@@ -46,7 +47,7 @@
   }
 
   next(): number {
-    return uniformInt(this.#generator, 0, STEPS - 1) / STEPS;
+    return uniformInt(this.#generator, 0, FRACTION_STEPS - 1) / FRACTION_STEPS;
   }
 
   below(bound: number): number {
@@ -59,7 +60,7 @@
   }
 }
 
-/** Numbers seeded by the machine, and unguessable bytes. */
+/** Numbers from a random seed; `hex` is cryptographically secure. */
 export class SystemRandom extends SeededRandom {
   constructor() {
     super(randomBytes(4).readInt32LE(0));
--- a/src/core/sha256.ts
+++ b/src/core/sha256.ts
@@ -1,12 +1,12 @@
 /**
- * Digests that operators can work out with `sha256sum`.
+ * SHA-256 digests that operators can reproduce with `sha256sum`.
  *
  * @module
  */
 import { createHash } from "node:crypto";
 
 /**
- * The SHA-256 of a text, in hexadecimal.
+ * The SHA-256 digest of a string, in hexadecimal.
  *
  * @example
  * ```ts
--- a/src/core/stop_signal.ts
+++ b/src/core/stop_signal.ts
@@ -1,14 +1,14 @@
 /**
- * The signal that ends a daemon.
+ * Stop signals of a daemon.
  *
  * @module
  */
 import process from "node:process";
 
 /**
- * Resolves with the first signal to stop. Those that follow are taken too and
- * change nothing: without a listener the second would end the process at once
- * and cut the requests that the stop lets end.
+ * Resolves on the first SIGTERM or SIGINT. The listeners stay, so that later
+ * signals are ignored: without them a second signal would end the process at
+ * once and cut off the requests that are still completing.
  *
  * @example
  * ```ts
--- a/src/core/stop_signal_test.ts
+++ b/src/core/stop_signal_test.ts
@@ -2,9 +2,9 @@
 import process from "node:process";
 import { stopSignal } from "./mod.ts";
 
-test("a second signal to stop does not end the process", async (t) => {
-  // A supervisor repeats its signal while a stop lets requests end. Without a
-  // listener the process ends at once, and callers see their connections close.
+test("a second stop signal does not end the process", async (t) => {
+  // A supervisor may repeat its signal while requests in flight complete.
+  // Without a listener the process ends at once and drops their connections.
   const stopped = stopSignal();
   process.emit("SIGTERM", "SIGTERM");
   await stopped;
--- a/src/core/strict.ts
+++ b/src/core/strict.ts
@@ -1,6 +1,5 @@
 /**
- * Objects that take the keys they name and no others, and checks that never
- * throw.
+ * Object schemas that reject unknown keys, and validation that never throws.
  *
  * @module
  */
@@ -10,8 +9,8 @@
 import { unknownName } from "./nearest.ts";
 
 /**
- * An object schema whose refusal of an unknown key names the nearest one and
- * those allowed.
+ * An object schema that rejects unknown keys, with an error that suggests the
+ * nearest known key and lists the allowed ones.
  *
  * @example
  * ```ts
@@ -32,10 +31,10 @@
 }
 
 /**
- * Checks a value by a schema; what was found stands in the failure.
+ * Validates a value against a schema; the failure describes the faulty input.
  *
  * A schema may throw on a hostile value: zod compares a `length` that need not
- * be a number, so `{"length":{"toString":false}}` in a section would end each
+ * be a number, so `{"length":{"toString":false}}` in a section would crash each
  * instance that reads it.
  *
  * @example
@@ -52,6 +51,6 @@
     const parsed = schema.safeParse(value, { reportInput: true });
     return parsed.success ? ok(parsed.data) : err(fromZod(code, parsed.error));
   } catch {
-    return fail(code, "the value cannot be checked");
+    return fail(code, "the schema check threw an error on this value");
   }
 }
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of one entry instance: what it cannot learn from the document.
+ * Settings of one entry instance that are not part of the shared document.
  *
  * @module
  */
@@ -17,13 +17,13 @@
   ZoneId,
 } from "../core/mod.ts";
 
-/** Where a listener stands. */
+/** The address of a listener. */
 const ListenAddress = strict({
   host: z.string().min(1).max(255).default("127.0.0.1").describe(
     "The address to listen on",
   ),
   port: z.number().int().min(0).max(65_535).default(0).describe(
-    "The port; 0 lets the machine choose",
+    "The port; 0 selects any free port",
   ),
 });
 
@@ -31,52 +31,54 @@
 const Count = z.number().int().min(1).max(1_000_000);
 const Milliseconds = z.number().int().min(100).max(3_600_000);
 
-/** What one caller may take. */
+/** Limits on callers' requests and connections. */
 const CallerLimits = strict({
   header_bytes: Bytes.default(16_384).describe(
-    "Bytes of a request's header fields together; more is answered with 431",
+    "Maximum total size of a request's header fields in bytes; larger requests get status 431",
   ),
   body_bytes: Bytes.default(16_777_216).describe(
-    "Bytes of a request's body; more is answered with 413, and cut off where no length was announced",
+    "Maximum size of a request's body in bytes; larger requests get status 413, and are cut off if they announced no length",
   ),
   connections: Count.default(10_000).describe(
-    "Connections over all callers; more are closed at once",
+    "Maximum number of connections from all callers; further ones are closed at once",
   ),
   connections_per_address: Count.default(2_000).describe(
-    "Connections from one address; more are closed at once",
+    "Maximum number of connections from one address; further ones are closed at once",
   ),
   header_ms: Milliseconds.default(10_000).describe(
-    "How long a caller may take to send its header fields, in milliseconds",
+    "Timeout for receiving a request's header fields, in milliseconds",
   ),
   request_ms: Milliseconds.default(60_000).describe(
-    "How long a caller may take to send a whole request, in milliseconds",
+    "Timeout for receiving a whole request, in milliseconds",
   ),
   idle_ms: Milliseconds.default(30_000).describe(
-    "How long a connection may rest between requests, in milliseconds",
+    "How long a connection may be idle between requests, in milliseconds",
   ),
 });
 
-/** Certificate and key of the caller side. */
+/** TLS certificate and key of the listener for callers. */
 const TlsSettings = strict({
   cert_file: z.string().min(1).describe("The certificate chain, in PEM"),
   key_file: z.string().min(1).describe("Its private key, in PEM"),
   reload_ms: Milliseconds.default(5_000).describe(
-    "How often the two files are looked at, in milliseconds; a new pair holds for new connections",
+    "How often the two files are checked for changes, in milliseconds; a new pair applies to new connections",
   ),
 });
 
 /** The settings file's schema. */
 export const Settings = strict({
   instance: strict({
-    id: InstanceId.describe("This instance's name, unlike any other's"),
-    zone: ZoneId.describe("The availability zone it stands in"),
-    region: RegionId.describe("The region it stands in"),
-  }).describe("Who and where this instance is"),
+    id: InstanceId.describe("This instance's unique name"),
+    zone: ZoneId.describe("The availability zone it runs in"),
+    region: RegionId.describe("The region it runs in"),
+  }).describe("Identity and location of this instance"),
   caller: strict({
     ...ListenAddress.shape,
-    limits: CallerLimits.prefault({}).describe("What one caller may take"),
+    limits: CallerLimits.prefault({}).describe(
+      "Limits on callers' requests and connections",
+    ),
     tls: TlsSettings.optional().describe(
-      "Certificate and key; without them callers are served in the clear",
+      "TLS certificate and key; without them callers are served without encryption",
     ),
   }).prefault({}).describe("Listener for callers"),
   peer: ListenAddress.prefault({}).describe("Listener for other instances"),
@@ -90,25 +92,29 @@
     ),
   }).prefault({}).describe("Listener for the administration API"),
   platform: strict({
-    url: z.url({ protocol: /^https?$/ }).describe("The platform's service"),
+    url: z.url({ protocol: /^https?$/ }).describe(
+      "URL of the platform service",
+    ),
     timeout_ms: z.number().int().min(10).max(60_000).default(2_000).describe(
-      "How long one call may take, waiting watches apart, in milliseconds",
+      "Timeout for one call, in milliseconds; the wait of a long-polling watch is added to it",
     ),
-  }).describe("Where the document, status and instance list stand"),
+  }).describe("The service that stores the document, status and instance list"),
   metrics: strict({
     host: z.string().min(1).max(255).describe("The StatsD server's address"),
     port: z.number().int().min(1).max(65_535).describe("Its UDP port"),
-  }).optional().describe("Where metrics go; nowhere if not given"),
+  }).optional().describe(
+    "The StatsD server that receives metrics; without it none are sent",
+  ),
   tick_ms: z.number().int().min(10).max(10_000).default(100).describe(
-    "How often the systems run, in milliseconds",
+    "Interval between runs of the periodic tasks, in milliseconds",
   ),
 });
 export type Settings = z.infer<typeof Settings>;
 
 /**
- * Checks settings that were already parsed.
+ * Validates settings that were already parsed.
  *
- * Errors: `bad_settings`, with a path to each wrong value.
+ * Errors: `bad_settings`, with a path to each invalid value.
  *
  * @example
  * ```ts
@@ -120,9 +126,9 @@
 }
 
 /**
- * Reads and checks a TOML settings file.
+ * Reads and validates a TOML settings file.
  *
- * Errors: `bad_settings`, whether the file is missing, not TOML, or wrong.
+ * Errors: `bad_settings`, if the file is unreadable, not TOML or invalid.
  *
  * @example
  * ```ts
