--- a/tools/bundle/bundle.ts
+++ b/tools/bundle/bundle.ts
@@ -1,10 +1,10 @@
 /**
  * Bundles the daemon for the platform.
  *
- * Instances restart with a part of a core, and callers are refused until they
- * are up, so what a library loads and the daemon does not use is left out: of
- * zod the texts in other languages. The files are CommonJS, whose loader does
- * less work at a start than that of modules.
+ * Instances restart on a fraction of a core and callers are refused until they
+ * are ready, so library code that the daemon does not use, such as zod's other
+ * locales, is left out. The files are CommonJS because its loader does less work
+ * at startup than the ES module loader.
  *
  * @module
  */
@@ -12,14 +12,14 @@
 import { build, type BuildOptions, type Plugin } from "esbuild";
 import { CODE_CACHE, DAEMON, PROGRAM } from "./program.ts";
 
-/** The texts of zod that the daemon uses. */
-const LOCALES = `export { default as en } from "./en.js";`;
+/** Replaces zod's index of locales; the daemon uses English only. */
+const ENGLISH_LOCALE = `export { default as en } from "./en.js";`;
 
-const lean: Plugin = {
+const englishOnly: Plugin = {
   name: "lean",
   setup(setup) {
     setup.onLoad({ filter: /zod\/v4\/locales\/index\.js$/ }, () => ({
-      contents: LOCALES,
+      contents: ENGLISH_LOCALE,
     }));
   },
 };
@@ -33,9 +33,9 @@
   minifyWhitespace: true,
 };
 
-/** Bundles the daemon: the program and what it loads. */
+/** Bundles the loader and the daemon that it runs. */
 export async function bundle(): Promise<void> {
-  // The runtime tells sources apart by their length only.
+  // V8 compares sources by length only, so a stale cache could be accepted.
   rmSync(CODE_CACHE, { force: true });
   await build({
     ...COMMON,
@@ -46,17 +46,17 @@
     ...COMMON,
     entryPoints: ["platform/main.ts"],
     outfile: DAEMON,
-    plugins: [lean],
-    // The loader hands in what is required.
+    plugins: [englishOnly],
+    // The loader passes `require` to this function.
     banner: { js: "(function(require){" },
     footer: { js: "})" },
   });
 }
 
 /**
- * Bundles the daemon into one file that runs by itself.
+ * Bundles the daemon into one file that runs without the loader.
  *
- * @param plugins Changes to what is bundled, before the usual ones.
+ * @param plugins Plugins that run before the default ones.
  */
 export async function bundleAlone(
   outfile: string,
@@ -66,6 +66,6 @@
     ...COMMON,
     entryPoints: ["platform/main.ts"],
     outfile,
-    plugins: [...plugins, lean],
+    plugins: [...plugins, englishOnly],
   });
 }
--- a/tools/bundle/bundle_test.ts
+++ b/tools/bundle/bundle_test.ts
@@ -10,14 +10,14 @@
 
 const run = promisify(execFile);
 
-// The bundler's own process would keep this one from its end.
+// esbuild's child process would otherwise keep this process running.
 test.after.always(() => void stop());
 
-// Guards against a cache that the runtime rejects, which only costs time.
-test("the bundle runs, with code that was compiled at the build", async (t) => {
+// Guards against a code cache that the runtime rejects, which only costs time.
+test("the bundled program runs and the runtime accepts its code cache", async (t) => {
   await bundle();
   t.true(await makeCodeCache());
-  const asked = `
+  const cacheCheckScript = `
     const { readFileSync } = require("fs");
     const script = new (require("vm").Script)(
       readFileSync("${DAEMON}", "utf8"),
@@ -25,8 +25,12 @@
     );
     console.log(script.cachedDataRejected);
   `;
-  const checked = await run(process.execPath, [...RUNTIME_FLAGS, "-e", asked]);
-  t.is(checked.stdout.trim(), "false");
+  const cacheCheck = await run(process.execPath, [
+    ...RUNTIME_FLAGS,
+    "-e",
+    cacheCheckScript,
+  ]);
+  t.is(cacheCheck.stdout.trim(), "false");
   const env = { ...process.env, MAGNOLIAHOOK_SETTINGS: "/dev/null" };
   const failed = await t.throwsAsync(
     run(process.execPath, [...RUNTIME_FLAGS, PROGRAM], { env }),
--- a/tools/bundle/code_cache.ts
+++ b/tools/bundle/code_cache.ts
@@ -1,6 +1,6 @@
 /**
- * Makes the code cache of the daemon: runs it under a small load and keeps what
- * was compiled.
+ * Creates the daemon's code cache by running it under a small load and saving the
+ * code compiled meanwhile.
  *
  * @module
  */
@@ -11,11 +11,11 @@
 
 const LOAD_PER_S = 100;
 const LOAD_MS = 2_000;
-const READY_MS = 10_000;
-const WRITTEN_MS = 5_000;
-const STEP_MS = 50;
+const READY_TIMEOUT_MS = 10_000;
+const WRITE_TIMEOUT_MS = 5_000;
+const POLL_INTERVAL_MS = 50;
 
-/** Writes the cache; gives whether it could be made. */
+/** Writes the cache; resolves to false if it was not written in time. */
 export async function makeCodeCache(): Promise<boolean> {
   const world = await StandInWorld.open();
   const instance = world.start({
@@ -23,24 +23,24 @@
     nodeFlags: [...RUNTIME_FLAGS, "--import=tsx"],
   });
   try {
-    if (!await within(READY_MS, () => instance.ready())) return false;
+    if (!await poll(READY_TIMEOUT_MS, () => instance.ready())) return false;
     await world.load(instance, LOAD_PER_S, LOAD_MS);
     instance.signal("SIGUSR2");
-    return await within(WRITTEN_MS, () => existsSync(CODE_CACHE));
+    return await poll(WRITE_TIMEOUT_MS, () => existsSync(CODE_CACHE));
   } finally {
     await instance.close();
     await world.close();
   }
 }
 
-async function within(
-  ms: number,
-  holds: () => boolean | Promise<boolean>,
+async function poll(
+  timeoutMs: number,
+  condition: () => boolean | Promise<boolean>,
 ): Promise<boolean> {
-  const until = performance.now() + ms;
-  while (performance.now() < until) {
-    if (await holds()) return true;
-    await new Promise((resolve) => setTimeout(resolve, STEP_MS));
+  const deadline = performance.now() + timeoutMs;
+  while (performance.now() < deadline) {
+    if (await condition()) return true;
+    await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
   return false;
 }
--- a/tools/bundle/code_cache_main.ts
+++ b/tools/bundle/code_cache_main.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the daemon, and writes the code that was compiled meanwhile once it is
- * told to. `bundle` starts it; it is no program of its own.
+ * Runs the daemon and, on SIGUSR2, writes the code compiled so far to the cache.
+ * Started by `makeCodeCache`; not meant to be run by hand.
  *
  * @module
  */
@@ -12,8 +12,8 @@
 
 const script = loadDaemon(resolve(DAEMON));
 process.on("SIGUSR2", () => {
-  const part = `${CODE_CACHE}.part`;
-  writeFileSync(part, script.createCachedData());
-  renameSync(part, CODE_CACHE);
+  const temporaryFile = `${CODE_CACHE}.part`;
+  writeFileSync(temporaryFile, script.createCachedData());
+  renameSync(temporaryFile, CODE_CACHE);
   process.exit(0);
 });
--- a/tools/bundle/load_daemon.ts
+++ b/tools/bundle/load_daemon.ts
@@ -9,9 +9,9 @@
 import { Script } from "node:vm";
 
 /**
- * @param file Its absolute path.
- * @param cachedData Code that was compiled before; where the runtime rejects
- * it, the file is compiled as usual.
+ * @param file The absolute path of the daemon's file.
+ * @param cachedData V8 code cache; if the runtime rejects it, the file is
+ * compiled as usual.
  */
 export function loadDaemon(file: string, cachedData?: Buffer): Script {
   const source = readFileSync(file, "utf8");
--- a/tools/bundle/loader.ts
+++ b/tools/bundle/loader.ts
@@ -1,9 +1,9 @@
 /**
- * Runs the daemon with the code that was compiled when it was built.
+ * Runs the daemon with the code cache written at build time.
  *
  * A restarted instance runs most functions once or twice, so compiling them is
- * a large part of its start. The runtime checks the cache against its version,
- * its flags and the source, and compiles as usual where it does not fit.
+ * a large part of its startup. The runtime checks the cache against its version,
+ * its flags and the source, and compiles as usual on a mismatch.
  *
  * @module
  */
--- a/tools/bundle/main.ts
+++ b/tools/bundle/main.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run bundle`: makes the program in `target/`.
+ * `npm run bundle`: builds the program into `target/`.
  *
  * @module
  */
@@ -7,10 +7,14 @@
 import { makeCodeCache } from "./code_cache.ts";
 
 await bundle();
-const made = await makeCodeCache().catch((cause) => {
-  console.error(`the daemon does not run here: ${String(cause)}`);
+const cacheWritten = await makeCodeCache().catch((cause) => {
+  console.error(
+    `cannot run the daemon to create its code cache: ${String(cause)}`,
+  );
   return false;
 });
-if (!made) {
-  console.error("no code cache: the daemon starts slower without it");
+if (!cacheWritten) {
+  console.error(
+    "code cache not written; the daemon will start more slowly without it",
+  );
 }
--- a/tools/bundle/program.ts
+++ b/tools/bundle/program.ts
@@ -1,12 +1,12 @@
 /**
- * What the bundle consists of, and how it is run.
+ * Paths of the files that make up the bundle.
  *
  * @module
  */
 
-/** The program that is run; it loads the two files below. */
+/** The entry point; it loads the two files below. */
 export const PROGRAM = "target/magnoliahook.cjs";
 /** The daemon and its libraries. */
 export const DAEMON = "target/daemon.cjs";
-/** Compiled code of the daemon, if it could be made. */
+/** The daemon's V8 code cache; absent if it could not be written. */
 export const CODE_CACHE = "target/daemon.cache";
--- a/tools/bundle/runtime_flags.ts
+++ b/tools/bundle/runtime_flags.ts
@@ -1,6 +1,6 @@
 /**
- * Flags of the runtime that the daemon is run with. The code cache is taken only
- * by a runtime with the same flags, so they are read where they are set.
+ * The Node.js flags that the daemon runs with. The runtime accepts the code cache
+ * only under the same flags, so they are read from the deployment file.
  *
  * @module
  */
@@ -16,14 +16,14 @@
 const { roles } = DeployFile.parse(
   parse(readFileSync("deploy/system.toml", "utf8")),
 );
-const words = roles.entry.run.split(" ");
+const runCommand = roles.entry.run.split(" ");
 
 /**
- * Functions are compiled after nine times the usual work, and at once to
- * optimised code: an instance that restarts on a part of a core serves callers
- * before it has time for more.
+ * Functions are compiled only after nine times the default amount of execution,
+ * and then directly to optimised code: an instance that restarts on a fraction of
+ * a core has to serve callers before it has CPU time to spare for compilation.
  */
-export const RUNTIME_FLAGS: readonly string[] = words.slice(
+export const RUNTIME_FLAGS: readonly string[] = runCommand.slice(
   1,
-  words.indexOf(PROGRAM),
+  runCommand.indexOf(PROGRAM),
 );
