--- a/tools/reference/examples.ts
+++ b/tools/reference/examples.ts
@@ -9,7 +9,7 @@
 
 const FIRST_PORT = 9_000;
 
-/** Every example file by its path below the root. */
+/** Every example file, by path relative to the repository root. */
 export function exampleFiles(): ReadonlyMap<string, string> {
   const files = new Map<string, string>();
   for (const [name, deployment] of Object.entries(DEPLOYMENTS)) {
--- a/tools/reference/examples_test.ts
+++ b/tools/reference/examples_test.ts
@@ -10,7 +10,7 @@
 const ROOT = new URL("../../", import.meta.url);
 
 for (const [path, text] of exampleFiles()) {
-  test(`${path} is as it was made; if not, run npm run reference`, async (t) => {
+  test(`${path} matches the generated text; if not, run npm run reference`, async (t) => {
     t.is(await readFile(new URL(path, ROOT), "utf8"), text);
   });
 }
@@ -19,7 +19,7 @@
   readonly regions: readonly string[];
   readonly linkMbit: number;
   readonly latencyMs: number;
-  /** Service, endpoints, slots of each, connections of each. */
+  /** Service, endpoint count, slots per endpoint, connections per endpoint. */
   readonly services: readonly (readonly [string, number, number, number])[];
 }
 
@@ -58,7 +58,7 @@
 }
 
 for (const [name, sizes] of Object.entries(SIZES)) {
-  test(`the example ${name} has the deployment's sizes`, async (t) => {
+  test(`the example ${name} has the sizes of its deployment`, async (t) => {
     const document = await load(name);
     t.deepEqual(Object.keys(document.regions), sizes.regions);
     for (const region of Object.values(document.regions)) {
--- a/tools/reference/open_api.ts
+++ b/tools/reference/open_api.ts
@@ -7,7 +7,7 @@
 import type { AdminRoute } from "../../src/admin/mod.ts";
 import { SECTION_KINDS, SECTION_SCHEMAS } from "../../src/document/mod.ts";
 
-const REFUSED: Readonly<Record<string, string>> = {
+const ERROR_DESCRIPTIONS: Readonly<Record<string, string>> = {
   "400": "The request is malformed",
   "401": "No token, or one that stands for no role",
   "403": "The section belongs to another role",
@@ -19,10 +19,10 @@
   "502": "The answer to a write was lost; read before trying again",
   "503": "The platform cannot be reached; nothing was changed",
 };
-const WITH_TOKEN = ["401", "404", "503"];
-const OF_OWNER = ["400", "403", "412", "413", "422", "428", "502"];
+const AUTHENTICATED_ERRORS = ["401", "404", "503"];
+const WRITE_ERRORS = ["400", "403", "412", "413", "422", "428", "502"];
 
-/** Builds the description from the routes themselves. */
+/** Builds the OpenAPI description from the route table. */
 export function openApi(routes: readonly AdminRoute[]): unknown {
   const paths: Record<string, Record<string, unknown>> = {};
   for (const route of routes) {
@@ -46,7 +46,7 @@
   };
 }
 
-/** A route's path in OpenAPI's notation. */
+/** Converts a route's path from `:name` to OpenAPI's `{name}` notation. */
 export function pathOf(route: AdminRoute): string {
   return route.path.replaceAll(/:(\w+)/g, "{$1}");
 }
@@ -83,9 +83,9 @@
 }
 
 function operationOf(route: AdminRoute): Record<string, unknown> {
-  const refused = [
-    ...(route.access === "none" ? [] : WITH_TOKEN),
-    ...(route.access === "owner" ? OF_OWNER : []),
+  const errorStatuses = [
+    ...(route.access === "none" ? [] : AUTHENTICATED_ERRORS),
+    ...(route.access === "owner" ? WRITE_ERRORS : []),
   ].sort();
   return {
     operationId: route.id,
@@ -98,7 +98,9 @@
       ...(route.unavailableDescription === undefined
         ? {}
         : { "503": { description: route.unavailableDescription } }),
-      ...Object.fromEntries(refused.map((status) => [status, refusal(status)])),
+      ...Object.fromEntries(
+        errorStatuses.map((status) => [status, errorResponse(status)]),
+      ),
     },
   };
 }
@@ -135,9 +137,9 @@
   };
 }
 
-function refusal(status: string): unknown {
+function errorResponse(status: string): unknown {
   return {
-    description: REFUSED[status],
+    description: ERROR_DESCRIPTIONS[status],
     content: {
       "application/json": { schema: { $ref: "#/components/schemas/Failure" } },
     },
--- a/tools/reference/package_test.ts
+++ b/tools/reference/package_test.ts
@@ -5,9 +5,9 @@
 
 const ROOT = new URL("../../", import.meta.url).pathname;
 
-test("the package is built from the program alone, without tests or fixtures", async (t) => {
-  // A fixture in the package is code that nobody meant to ship, keys of test
-  // certificates among it.
+test("the package is built from src only, without tests and fixtures", async (t) => {
+  // Guards against shipping test fixtures by accident, among them the private
+  // keys of test certificates.
   const args = ["tsc", "-p", "tsconfig.build.json", "--listFilesOnly"];
   const { stdout } = await promisify(execFile)("npx", args, { cwd: ROOT });
   const built = stdout.split("\n").filter((f) =>
--- a/tools/reference/pages.ts
+++ b/tools/reference/pages.ts
@@ -1,5 +1,5 @@
 /**
- * The reference pages, each made from what the code itself goes by.
+ * The reference pages, generated from the tables and schemas that the code uses.
  *
  * @module
  */
@@ -13,10 +13,10 @@
 import { schemaTable } from "./schema_table.ts";
 import { toYaml } from "./yaml.ts";
 
-const MADE =
+const GENERATED_NOTICE =
   "<!-- Made by `npm run reference` from the code; edit it there. -->";
 
-/** Every page by its path below the root. */
+/** Every page, by path relative to the repository root. */
 export function referencePages(): ReadonlyMap<string, string> {
   return new Map([
     ["docs/CLI.md", cliPage()],
@@ -128,7 +128,7 @@
 
 function page(parts: readonly string[]): string {
   const [title = "", ...rest] = parts;
-  return [title, MADE, ...rest].join("\n\n") + "\n";
+  return [title, GENERATED_NOTICE, ...rest].join("\n\n") + "\n";
 }
 
 function code(lines: readonly string[], language = "sh"): string {
--- a/tools/reference/pages_test.ts
+++ b/tools/reference/pages_test.ts
@@ -7,7 +7,7 @@
 const ROOT = new URL("../../", import.meta.url);
 
 for (const [path, text] of referencePages()) {
-  test(`${path} is as the code has it; if not, run npm run reference`, async (t) => {
+  test(`${path} matches the code; if not, run npm run reference`, async (t) => {
     t.is(await readFile(new URL(path, ROOT), "utf8"), text);
   });
 }
@@ -19,7 +19,7 @@
   };
 }
 
-test("the OpenAPI file has the routes that the application serves, and no others", (t) => {
+test("the OpenAPI file lists exactly the routes that the application serves", (t) => {
   const app = adminApp({} as Parameters<typeof adminApp>[0]);
   const served = (app.router.stack as unknown as Layer[])
     .flatMap(({ route }) =>
--- a/tools/reference/schema_table.ts
+++ b/tools/reference/schema_table.ts
@@ -5,7 +5,7 @@
  */
 import { z } from "zod";
 
-/** The part of JSON Schema that the tables use. */
+/** The subset of JSON Schema that the tables use. */
 interface JsonSchema {
   readonly type?: string;
   readonly description?: string;
@@ -38,7 +38,7 @@
   readonly help: string;
 }
 
-/** A schema's fields as a Markdown table, one line a field. */
+/** Formats a schema's fields as a Markdown table, one row per field. */
 export function schemaTable(schema: z.ZodType): string {
   const json = z.toJSONSchema(schema, { io: "input" }) as JsonSchema;
   const rows = fieldsOf(json, "");
@@ -53,7 +53,7 @@
 }
 
 function fieldsOf(schema: JsonSchema, path: string): Row[] {
-  const named = Object.entries(schema.properties ?? {}).flatMap((
+  const propertyRows = Object.entries(schema.properties ?? {}).flatMap((
     [name, field],
   ) => {
     const at = path === "" ? name : `${path}.${name}`;
@@ -61,19 +61,26 @@
     return [rowOf(field, at, required), ...fieldsOf(field, at)];
   });
   const { additionalProperties: more } = schema;
-  const any = typeof more === "object" ? fieldsOf(more, `${path}.NAME`) : [];
-  const items = schema.items ? fieldsOf(schema.items, `${path}[]`) : [];
-  const either = [...schema.oneOf ?? [], ...schema.anyOf ?? []]
+  const entryRows = typeof more === "object"
+    ? fieldsOf(more, `${path}.NAME`)
+    : [];
+  const itemRows = schema.items ? fieldsOf(schema.items, `${path}[]`) : [];
+  const variantRows = [...schema.oneOf ?? [], ...schema.anyOf ?? []]
     .flatMap((option) => fieldsOf(option, path));
-  return unique([...named, ...any, ...items, ...either]);
+  return mergeByPath([
+    ...propertyRows,
+    ...entryRows,
+    ...itemRows,
+    ...variantRows,
+  ]);
 }
 
-function unique(rows: readonly Row[]): Row[] {
+function mergeByPath(rows: readonly Row[]): Row[] {
   const byPath = new Map<string, Row>();
   for (const row of rows) {
-    const before = byPath.get(row.path);
-    const allowed = before && before.allowed !== row.allowed
-      ? `${before.allowed} or ${row.allowed}`
+    const previous = byPath.get(row.path);
+    const allowed = previous && previous.allowed !== row.allowed
+      ? `${previous.allowed} or ${row.allowed}`
       : row.allowed;
     byPath.set(row.path, { ...row, allowed });
   }
@@ -106,14 +113,14 @@
   if (schema.const !== undefined) return `\`${JSON.stringify(schema.const)}\``;
   if (schema.enum) return schema.enum.map((e) => `\`${e}\``).join(", ");
   const parts = [
-    bound(">=", realMinimum(schema.minimum)),
-    bound(">", schema.exclusiveMinimum),
-    bound("<=", realMaximum(schema.maximum)),
-    bound("<", schema.exclusiveMaximum),
-    bound("at least", schema.minLength, "characters"),
-    bound("at most", schema.maxLength, "characters"),
-    bound("at least", schema.minItems, "entries"),
-    bound("at most", schema.maxItems, "entries"),
+    formatLimit(">=", explicitMinimum(schema.minimum)),
+    formatLimit(">", schema.exclusiveMinimum),
+    formatLimit("<=", explicitMaximum(schema.maximum)),
+    formatLimit("<", schema.exclusiveMaximum),
+    formatLimit("at least", schema.minLength, "characters"),
+    formatLimit("at most", schema.maxLength, "characters"),
+    formatLimit("at least", schema.minItems, "entries"),
+    formatLimit("at most", schema.maxItems, "entries"),
     schema.format === undefined ? "" : schema.format,
     schema.pattern === undefined
       ? ""
@@ -122,15 +129,19 @@
   return parts.filter((p) => p !== "").join(", ");
 }
 
-/** JSON Schema writes "any whole number" as the range of safe integers. */
-function realMinimum(value: number | undefined): number | undefined {
+/** Zod writes an unlimited integer as the range of safe integers. */
+function explicitMinimum(value: number | undefined): number | undefined {
   return value === Number.MIN_SAFE_INTEGER ? undefined : value;
 }
 
-function realMaximum(value: number | undefined): number | undefined {
+function explicitMaximum(value: number | undefined): number | undefined {
   return value === Number.MAX_SAFE_INTEGER ? undefined : value;
 }
 
-function bound(sign: string, value: number | undefined, unit = ""): string {
-  return value === undefined ? "" : `${sign} ${value} ${unit}`.trim();
+function formatLimit(
+  label: string,
+  value: number | undefined,
+  unit = "",
+): string {
+  return value === undefined ? "" : `${label} ${value} ${unit}`.trim();
 }
--- a/tools/reference/yaml.ts
+++ b/tools/reference/yaml.ts
@@ -1,13 +1,13 @@
 /**
- * Plain values as YAML; every string is quoted as in JSON, which YAML reads the
- * same way.
+ * Serializes plain values as YAML. Strings are quoted as in JSON, which YAML
+ * reads the same way.
  *
  * @module
  */
 
 const PLAIN_KEY = /^[A-Za-z_$][A-Za-z0-9_$-]*$/;
 
-/** Writes a value as a YAML document. */
+/** Serializes a value as a YAML document. */
 export function toYaml(value: unknown): string {
   return lines(value).join("\n") + "\n";
 }
