--- a/tools/budgets/model_main.ts
+++ b/tools/budgets/model_main.ts
@@ -1,6 +1,6 @@
 /**
- * Long random runs of the model test: histories of a small fleet under faults,
- * with every sum of parts checked after every event.
+ * Long random runs of the model test: random event sequences on a small fleet
+ * under faults, with the sum of all shares checked after every event.
  *
  * Usage: `npm run budgets:model -- --runs 10000 --seed 4`
  *
--- a/tools/budgets/refusals_main.ts
+++ b/tools/budgets/refusals_main.ts
@@ -1,6 +1,7 @@
 /**
- * Measures wrongful refusals: requests refused although their account was
- * within its rate and burst, in virtual time, against parts that never move.
+ * Measures wrongful refusals in virtual time, that is, requests refused although
+ * their account was within its rate and burst, and compares them with a fixed
+ * split of the rate.
  *
  * Usage: `npm run budgets:refusals -- --seconds 60 --seed 1 --load 0.8`
  *
@@ -42,11 +43,11 @@
   requests: number;
   within: number;
   refused: number;
-  /** Of those, in the first second after the measurement began. */
+  /** Refusals in the first second of the measurement. */
   refused_first_s: number;
   refused_fixed: number;
   by_account: Record<string, number>;
-  /** Admitted above what one bucket for all instances would hold. */
+  /** Requests admitted beyond what one fleet-wide token bucket would allow. */
   over_rate: number;
   waited: number;
   wait_p99_ms: number;
@@ -59,7 +60,7 @@
   tallies.push(await measure(scenario));
 }
 console.table(tallies.map(({ by_account: _, ...rest }) => rest));
-const worst = (of: (t: Tally) => number) => Math.max(...tallies.map(of));
+const maxOf = (of: (t: Tally) => number) => Math.max(...tallies.map(of));
 console.log(JSON.stringify({
   seed: Number(opts.seed),
   load: Number(opts.load),
@@ -70,12 +71,12 @@
     fixed_pct: percent(t.refused_fixed, t.within),
   })),
 }));
-process.exitCode = worst((t) => t.over_rate) > 0 ? 1 : 0;
+process.exitCode = maxOf((t) => t.over_rate) > 0 ? 1 : 0;
 
 async function measure(scenario: Scenario): Promise<Tally> {
   const random = new SeededRandom(Number(opts.seed));
   const fleet = makeFleet();
-  const fixed = new Map(
+  const fixedLimiters = new Map(
     fleet.nodes.map((n) => [n, fixedLimiter(fleet, n)] as const),
   );
   await fleet.time.advance(WARM_UP_MS);
@@ -108,7 +109,7 @@
     const at = fleet.time.now;
     tally.requests += 1;
     if (within) tally.within += 1;
-    void fixed.get(node)?.take(account as AccountId).then((r) => {
+    void fixedLimiters.get(node)?.take(account as AccountId).then((r) => {
       if (within && r.isErr()) tally.refused_fixed += 1;
     });
     void fleet.request(node, account, TIMEOUT_MS)?.then((r) => {
--- a/tools/budgets/scenarios.ts
+++ b/tools/budgets/scenarios.ts
@@ -1,5 +1,5 @@
 /**
- * Where the requests of an account go, and what fails meanwhile.
+ * Scenarios: how each account's requests are routed and which faults occur.
  *
  * @module
  */
@@ -9,7 +9,7 @@
   FleetNode,
 } from "../../src/instance/testing/budget_fleet.ts";
 
-/** Picks the instance that a request of the account goes to. */
+/** Picks the instance that receives a request of the account. */
 export type Route = (
   account: number,
   live: readonly FleetNode[],
@@ -19,58 +19,61 @@
 /** One pattern of load and failure. */
 export interface Scenario {
   readonly name: string;
-  /** How the requests find instances; called anew for each request. */
+  /** Returns the routing for the current time; called for each request. */
   readonly route: (nowMs: number) => Route;
-  /** What happens `atMs` after the measurement began. */
+  /** Faults, injected `atMs` after the measurement began. */
   readonly events?: readonly {
     readonly atMs: number;
     readonly run: (fleet: BudgetFleet) => void;
   }[];
 }
 
-const MOVE_MS = 5_000;
+const MOVE_INTERVAL_MS = 5_000;
 const FAULT_AT_MS = 15_000;
 const FAULT_END_MS = 35_000;
-const CUT_ZONE = "eu-central-a";
+const PARTITIONED_ZONE = "eu-central-a";
 
 /** The scenarios in the order of the report. */
 export const SCENARIOS: readonly Scenario[] = [
-  { name: "steady", route: () => spread },
-  { name: "all to one", route: () => (account, live) => at(live, account) },
+  { name: "steady", route: () => pickRandom },
+  {
+    name: "all to one",
+    route: () => (account, live) => pickByIndex(live, account),
+  },
   {
     name: "moving every 5 s",
     route: (nowMs) => (account, live) =>
-      at(live, account + 5 * Math.floor(nowMs / MOVE_MS)),
+      pickByIndex(live, account + 5 * Math.floor(nowMs / MOVE_INTERVAL_MS)),
   },
   {
     name: "one killed, spread",
-    route: () => spread,
+    route: () => pickRandom,
     events: [{ atMs: FAULT_AT_MS, run: killFirst }],
   },
   {
     name: "one killed, all to one",
-    route: () => (account, live) => at(live, account % 4),
+    route: () => (account, live) => pickByIndex(live, account % 4),
     events: [{ atMs: FAULT_AT_MS, run: killFirst }],
   },
   {
     name: "one zone cut",
-    route: () => spread,
+    route: () => pickRandom,
     events: [
-      { atMs: FAULT_AT_MS, run: (fleet) => cut(fleet, true) },
-      { atMs: FAULT_END_MS, run: (fleet) => cut(fleet, false) },
+      { atMs: FAULT_AT_MS, run: (fleet) => setZonePartitioned(fleet, true) },
+      { atMs: FAULT_END_MS, run: (fleet) => setZonePartitioned(fleet, false) },
     ],
   },
   {
     name: "store down",
-    route: () => spread,
+    route: () => pickRandom,
     events: [
-      { atMs: FAULT_AT_MS, run: (fleet) => storeDown(fleet, 1) },
-      { atMs: FAULT_END_MS, run: (fleet) => storeDown(fleet, 0) },
+      { atMs: FAULT_AT_MS, run: (fleet) => setStoreDown(fleet, 1) },
+      { atMs: FAULT_END_MS, run: (fleet) => setStoreDown(fleet, 0) },
     ],
   },
 ];
 
-function spread(
+function pickRandom(
   _account: number,
   live: readonly FleetNode[],
   random: Random,
@@ -78,7 +81,10 @@
   return live[random.below(live.length)];
 }
 
-function at(live: readonly FleetNode[], index: number): FleetNode | undefined {
+function pickByIndex(
+  live: readonly FleetNode[],
+  index: number,
+): FleetNode | undefined {
   return live[index % live.length];
 }
 
@@ -87,13 +93,13 @@
   if (first) fleet.kill(first.instance);
 }
 
-function cut(fleet: BudgetFleet, off: boolean): void {
-  fleet.cut(CUT_ZONE, off);
+function setZonePartitioned(fleet: BudgetFleet, on: boolean): void {
+  fleet.cut(PARTITIONED_ZONE, on);
   for (const node of fleet.live()) {
-    if (node.zone === CUT_ZONE) node.platform.faults.down = off ? 1 : 0;
+    if (node.zone === PARTITIONED_ZONE) node.platform.faults.down = on ? 1 : 0;
   }
 }
 
-function storeDown(fleet: BudgetFleet, down: number): void {
+function setStoreDown(fleet: BudgetFleet, down: number): void {
   for (const node of fleet.live()) node.platform.faults.down = down;
 }
--- a/tools/budgets/search_main.ts
+++ b/tools/budgets/search_main.ts
@@ -1,5 +1,5 @@
 /**
- * The complete search of the small lending model, deeper than in CI.
+ * Exhaustive search of the small lending model, deeper than in CI.
  *
  * Usage: `npm run budgets:search -- --depth 8 --messages 3`
  *
