--- a/tools/bench/control.ts
+++ b/tools/bench/control.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- control`: what control costs an entry instance without any
- * request, in real processes, at rising numbers of one thing at a time.
+ * `npm run bench -- control`: the control-plane cost of an idle entry instance,
+ * in real processes, with one dimension of the fleet growing at a time.
  *
  * @module
  */
@@ -16,7 +16,7 @@
 const BYTES_PER_MB = 1e6;
 const KB = 1_024;
 
-/** One fleet to measure. */
+/** The size of a fleet to measure. */
 interface Shape {
   readonly zones: number;
   readonly instancesPerZone: number;
@@ -31,7 +31,7 @@
   endpointsPerZone: 6,
 };
 
-/** What grows, and the shapes at which it is measured. */
+/** The growing dimension and the fleet sizes at which it is measured. */
 const SERIES: Readonly<Record<string, readonly Shape[]>> = {
   zone_mates: [1, 2, 4, 6].map((n) => ({ ...BASE, instancesPerZone: n })),
   far_peers: [1, 3, 6, 10].map((zones) => ({ ...BASE, zones })),
@@ -69,19 +69,19 @@
   const fleet = await Fleet.start(deploymentOf(shape));
   try {
     await sleep(SETTLE_MS);
-    const before = await readAll(fleet);
+    const before = await readUsage(fleet);
     await sleep(SAMPLE_MS);
-    const after = await readAll(fleet);
+    const after = await readUsage(fleet);
     const seconds = (after.at - before.at) / MS_PER_S;
-    const perInstance = (of: (r: Reading) => number) =>
+    const perInstance = (of: (r: UsageTotals) => number) =>
       (of(after) - of(before)) / fleet.instances.length / seconds;
     return {
       ...shape,
       cpu_ms_per_s: round(perInstance((r) => r.cpuMs)),
       rss_mb: round(after.rssBytes / fleet.instances.length / BYTES_PER_MB),
       batches_per_s: round(perInstance((r) => r.batches)),
-      // A listener sees the connections that peers opened; an instance has as
-      // many again that it opened itself.
+      // Doubled because the listener counts only connections opened by peers, and
+      // an instance opens as many itself.
       kb_per_s: round(2 * perInstance((r) => r.bytes) / KB),
       store_calls_per_s: round((after.calls - before.calls) / seconds),
     };
@@ -90,8 +90,8 @@
   }
 }
 
-/** Sums over a fleet. */
-interface Reading {
+/** Cumulative usage, summed over a fleet. */
+interface UsageTotals {
   readonly at: number;
   readonly cpuMs: number;
   readonly rssBytes: number;
@@ -100,7 +100,7 @@
   readonly calls: number;
 }
 
-async function readAll(fleet: Fleet): Promise<Reading> {
+async function readUsage(fleet: Fleet): Promise<UsageTotals> {
   const at = performance.now();
   const calls = Object.values(await fleet.storeCalls());
   const status = await Promise.all(fleet.instances.map(statusOf));
@@ -137,9 +137,9 @@
   return Number(/VmRSS:\s+(\d+)/.exec(status)?.[1] ?? 0) * KB;
 }
 
-/** Least squares over the samples, a unit of what grows at a time. */
+/** Least-squares slope of each figure per unit of the growing dimension. */
 function slopesOf(name: string, samples: readonly Sample[]) {
-  const x = samples.map((s) => unitsOf(name, s));
+  const x = samples.map((s) => seriesValueOf(name, s));
   const fit = (of: (s: Sample) => number) => round(slope(x, samples.map(of)));
   return {
     cpu_ms_per_s: fit((s) => s.cpu_ms_per_s),
@@ -150,7 +150,7 @@
   };
 }
 
-function unitsOf(name: string, s: Sample): number {
+function seriesValueOf(name: string, s: Sample): number {
   switch (name) {
     case "zone_mates":
       return s.instancesPerZone;
@@ -166,8 +166,8 @@
 function slope(x: readonly number[], y: readonly number[]): number {
   const meanX = sum(x) / x.length;
   const meanY = sum(y) / y.length;
-  const above = sum(x.map((v, i) => (v - meanX) * ((y[i] ?? 0) - meanY)));
-  return above / sum(x.map((v) => (v - meanX) ** 2));
+  const covariance = sum(x.map((v, i) => (v - meanX) * ((y[i] ?? 0) - meanY)));
+  return covariance / sum(x.map((v) => (v - meanX) ** 2));
 }
 
 function deploymentOf(shape: Shape): Deployment {
--- a/tools/bench/decisions/cost.ts
+++ b/tools/bench/decisions/cost.ts
@@ -1,5 +1,5 @@
 /**
- * What one decision costs at today's size and at the size to come.
+ * Cost of one decision at today's size and at the planned size.
  *
  * @module
  */
@@ -26,7 +26,7 @@
   type SteeringDocument,
 } from "../../../src/document/mod.ts";
 
-/** A size of the whole system. */
+/** Size of the whole system. */
 export interface FleetSize {
   readonly name: string;
   readonly sites: number;
@@ -35,18 +35,18 @@
   readonly accounts: number;
 }
 
-/** Microseconds of one decision each. */
+/** Mean time of a decision, in microseconds. */
 export interface DecisionCost {
   readonly size: string;
-  /** A slot taken and given back while there is room. */
+  /** Acquiring and releasing a slot while slots are free. */
   readonly dispatch_us: number;
-  /** A request that waits among 256 and is served in turn. */
+  /** Serving a request from a queue of 256. */
   readonly queued_us: number;
-  /** One answer to a look-up. */
+  /** One entry lookup. */
   readonly lookup_us: number;
 }
 
-/** Today and the size to come. */
+/** Today's size and the planned size. */
 export const SIZES: readonly FleetSize[] = [
   { name: "today", sites: 42, zones: 6, instances: 12, accounts: 8 },
   {
@@ -64,7 +64,7 @@
 const WARM_UP = 5_000;
 const QUEUED = 256;
 const QUEUE_ROUNDS = 8_000;
-const PER_MS = 1_000;
+const US_PER_MS = 1_000;
 
 /** Measures one size. */
 export async function measureCost(size: FleetSize): Promise<DecisionCost> {
@@ -85,29 +85,31 @@
   for (let i = 0; i < WARM_UP; i++) await once(i);
   const from = performance.now();
   for (let i = 0; i < ROUNDS; i++) await once(i);
-  return (performance.now() - from) / ROUNDS * PER_MS;
+  return (performance.now() - from) / ROUNDS * US_PER_MS;
 }
 
-/** Keeps the queue full: each slot given back serves one and one more joins. */
+/** Keeps the queue full: for each request served, another one is added. */
 async function queuedCost(size: FleetSize): Promise<number> {
   const { dispatcher, accountOf, clock } = setup(size);
   const held: Slot[] = [];
-  let asked = 0;
-  const ask = () =>
-    void dispatcher.acquire(requestOf(accountOf(asked++))).then((slot) => {
-      if (slot.isOk()) held.push(slot.value);
-    });
-  const room = dispatcher.load(clock.now())[0]?.capacity ?? 0;
-  for (let i = 0; i < room + QUEUED; i++) ask();
+  let requestCount = 0;
+  const sendRequest = () =>
+    void dispatcher.acquire(requestOf(accountOf(requestCount++))).then(
+      (slot) => {
+        if (slot.isOk()) held.push(slot.value);
+      },
+    );
+  const capacity = dispatcher.load(clock.now())[0]?.capacity ?? 0;
+  for (let i = 0; i < capacity + QUEUED; i++) sendRequest();
   await Promise.resolve();
   const from = performance.now();
   for (let i = 0; i < QUEUE_ROUNDS; i++) {
     held.shift()?.release("ok", clock.now());
-    ask();
+    sendRequest();
     await Promise.resolve();
     await Promise.resolve();
   }
-  return (performance.now() - from) / QUEUE_ROUNDS * PER_MS;
+  return (performance.now() - from) / QUEUE_ROUNDS * US_PER_MS;
 }
 
 function lookupCost(size: FleetSize): number {
@@ -118,12 +120,12 @@
     zone: `z${i % size.zones}` as ZoneId,
     region: `r${i % size.zones >> 1}` as RegionId,
   }));
-  const place = { zone: "z0" as ZoneId, region: "r0" as RegionId };
+  const location = { zone: "z0" as ZoneId, region: "r0" as RegionId };
   chooser.prepare(candidates);
-  for (let i = 0; i < WARM_UP; i++) chooser.choose(place);
+  for (let i = 0; i < WARM_UP; i++) chooser.choose(location);
   const from = performance.now();
-  for (let i = 0; i < ROUNDS; i++) chooser.choose(place);
-  return (performance.now() - from) / ROUNDS * PER_MS;
+  for (let i = 0; i < ROUNDS; i++) chooser.choose(location);
+  return (performance.now() - from) / ROUNDS * US_PER_MS;
 }
 
 function setup(size: FleetSize) {
@@ -133,7 +135,7 @@
     random: new SeededRandom(1),
     metrics: new MemoryMetrics(),
     zone: "z0" as ZoneId,
-    limits: new WholeLimits(),
+    limits: new UndividedSlotLimits(),
   });
   dispatcher.adopt(documentOf(size), 0);
   const accountOf = (i: number) => `a${i % size.accounts}` as AccountId;
@@ -144,8 +146,8 @@
   return { service: SERVICE, account, idempotent: true, deadline: 1e9 };
 }
 
-/** One instance has all slots, so that its decisions alone are measured. */
-class WholeLimits implements SlotLimits {
+/** Gives one instance all slots, so that only its decisions are measured. */
+class UndividedSlotLimits implements SlotLimits {
   readonly #slots = new Map<EndpointId, number>();
 
   adopt(document: SteeringDocument): void {
--- a/tools/bench/decisions/decisions.ts
+++ b/tools/bench/decisions/decisions.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run bench -- decisions`: what callers of both deployments get under six
- * patterns of load, from the dispatcher and from the round-robin baseline, and
- * what a decision costs at two sizes.
+ * `npm run bench -- decisions`: compares the fair dispatcher with the round-robin
+ * baseline for both deployments under six load patterns, and measures the cost of
+ * a decision at two sizes.
  *
  * @module
  */
@@ -11,13 +11,13 @@
 import type { FleetShape } from "./fleet_shape.ts";
 import { type LoadPattern, type RunReport, simulate } from "./simulation.ts";
 
-/** One pattern at one deployment. */
+/** Results of one pattern on one deployment. */
 interface Comparison {
   readonly deployment: string;
   readonly pattern: string;
   readonly ours: RunReport;
   readonly baseline: RunReport;
-  /** Ours over the baseline's; null where the baseline's is 0 or unknown. */
+  /** Ours over the baseline; null if either is unknown or the baseline is 0. */
   readonly ratios: Readonly<Record<string, number | null>>;
 }
 
@@ -34,7 +34,7 @@
     }
   }
   console.table(comparisons.flatMap(rowsOf));
-  const gateway = await compareWays();
+  const gateway = await compareRouting();
   console.table(gateway);
   const costs: DecisionCost[] = [];
   for (const size of SIZES) costs.push(await measureCost(size));
@@ -50,7 +50,7 @@
   }));
 }
 
-/** The service that gets most requests, over the whole deployment. */
+/** The shape of a deployment, reduced to the service with the most requests. */
 function shapeOf(deployment: typeof DEPLOYMENTS["kuratori"]): FleetShape {
   const services = Object.values(deployment.services);
   const main = services.reduce((a, b) => a.mix >= b.mix ? a : b);
@@ -83,10 +83,10 @@
 }
 
 /**
- * Endpoints used only by their zone's instances, against every instance using
- * every endpoint, both with slots split evenly over those who use them.
+ * Compares endpoints used only by their zone's instances with every instance
+ * using every endpoint; slots are split evenly over the instances that use them.
  */
-async function compareWays() {
+async function compareRouting() {
   const rows = [];
   for (const [name, deployment] of Object.entries(DEPLOYMENTS)) {
     const shape = shapeOf(deployment);
@@ -95,7 +95,9 @@
       zones: 1,
       instancesPerZone: shape.zones * shape.instancesPerZone,
     };
-    for (const pattern of PATTERNS.filter((p) => COMPARED.has(p.name))) {
+    for (
+      const pattern of PATTERNS.filter((p) => ROUTING_PATTERNS.has(p.name))
+    ) {
       const opts = { seconds: SECONDS, seed: SEED, kind: "fair" } as const;
       const { name: on } = pattern;
       for (const [way, of] of Object.entries({ zone: shape, direct })) {
@@ -107,8 +109,12 @@
   return rows;
 }
 
-/** Patterns in which the way to the endpoints matters most. */
-const COMPARED: ReadonlySet<string> = new Set(["burst", "slow", "drain"]);
+/** Patterns in which the routing to the endpoints matters most. */
+const ROUTING_PATTERNS: ReadonlySet<string> = new Set([
+  "burst",
+  "slow",
+  "drain",
+]);
 
 function ratio(ours: number | null, baseline: number | null): number | null {
   if (ours === null || !baseline) return null;
@@ -129,7 +135,7 @@
   return Object.fromEntries(entries);
 }
 
-/** How much dearer a decision is at the larger size, and how much larger it is. */
+/** Growth of sizes and decision costs from today to the planned size. */
 function growthOf(costs: readonly DecisionCost[]) {
   const [today, planned] = costs;
   const [small, large] = SIZES;
--- a/tools/bench/decisions/fleet_shape.ts
+++ b/tools/bench/decisions/fleet_shape.ts
@@ -1,5 +1,5 @@
 /**
- * The size of a simulated deployment and what follows from it.
+ * The size of a simulated deployment, and fixtures derived from it.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 } from "../../../src/document/mod.ts";
 import type { SeatDirectory } from "../../../src/membership/mod.ts";
 
-/** Size of what is simulated. */
+/** Size of a simulated deployment. */
 export interface FleetShape {
   readonly zones: number;
   readonly instancesPerZone: number;
@@ -20,30 +20,30 @@
   readonly accounts: number;
 }
 
-/** What each may have so that all together have `total`, none more than it wants. */
-export function fairShare(wants: readonly number[], total: number): number {
-  const sorted = [...wants].sort((a, b) => a - b);
-  let left = total;
-  for (const [i, want] of sorted.entries()) {
-    const share = left / (sorted.length - i);
-    if (want > share) return share;
-    left -= want;
+/** Max-min fair share: the cap on each demand that divides `total` among all. */
+export function fairShare(demands: readonly number[], total: number): number {
+  const sorted = [...demands].sort((a, b) => a - b);
+  let remaining = total;
+  for (const [i, demand] of sorted.entries()) {
+    const share = remaining / (sorted.length - i);
+    if (demand > share) return share;
+    remaining -= demand;
   }
   return Infinity;
 }
 
-/** Accounts by number. */
+/** Indexes of the accounts. */
 export function accountsOf(shape: FleetShape): number[] {
   return Array.from({ length: shape.accounts }, (_, i) => i);
 }
 
-/** A directory in which an instance holds one seat for good. */
+/** A seat directory in which the instance holds one seat that never expires. */
 export function seatsOf(zone: ZoneId, index: number): SeatDirectory {
   const seat = { zone, index, epoch: 1, part: 1, until: Infinity };
   return { held: () => [seat], entries: () => [] };
 }
 
-/** A document of that size. */
+/** Builds a steering document of the given size. */
 export function documentOf(shape: FleetShape): SteeringDocument {
   const zones = Array.from({ length: shape.zones }, (_, i) => `z${i}`);
   const endpoints = Array.from(
--- a/tools/bench/decisions/latency_list.ts
+++ b/tools/bench/decisions/latency_list.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-/** Milliseconds in the order they came. */
+/** Latencies in milliseconds, in the order recorded. */
 export class LatencyList {
   readonly #values: number[] = [];
 
@@ -12,10 +12,13 @@
     this.#values.push(ms);
   }
 
-  /** The value that `part` of all do not exceed; 0 of none. */
-  percentile(part: number): number {
+  /** The percentile for a fraction such as 0.99; 0 if there are no values. */
+  percentile(fraction: number): number {
     const sorted = [...this.#values].sort((a, b) => a - b);
-    const at = Math.min(sorted.length - 1, Math.floor(sorted.length * part));
+    const at = Math.min(
+      sorted.length - 1,
+      Math.floor(sorted.length * fraction),
+    );
     return sorted[at] ?? 0;
   }
 }
--- a/tools/bench/decisions/patterns.ts
+++ b/tools/bench/decisions/patterns.ts
@@ -1,56 +1,56 @@
 /**
- * Patterns of load that a dispatcher has to stand.
+ * Load patterns on which dispatchers are compared.
  *
  * @module
  */
 import type { LoadPattern } from "./simulation.ts";
 
-/** Accounts of each pattern. */
+/** Number of accounts in each pattern. */
 export const ACCOUNTS = 8;
-/** Rates that no pattern reaches, so that only room limits what is served. */
-const AMPLE = 4;
-const DOMINANT = 2;
+/** Rate that no pattern reaches, so that only capacity limits what is served. */
+const UNREACHED_RATE = 4;
+const DOMINANT_ACCOUNTS = 2;
 
-/** Every pattern, by the name under which it is reported. */
+/** Every pattern; the name is the one in the report. */
 export const PATTERNS: readonly LoadPattern[] = [
   {
-    // Half load, and every two seconds 200 ms of two and a half times all slots.
+    // Half load, with bursts of 2.5 times the capacity for 200 ms every 2 s.
     name: "burst",
-    rate: () => AMPLE,
+    rate: () => UNREACHED_RATE,
     load: (_a, s) => (s % 2 < 0.2 ? 2.5 : 0.5) / ACCOUNTS,
   },
   {
-    // Two accounts send twice their rates, which add up to all slots; six send
-    // a twentieth each.
+    // Two accounts send twice their rates, which add up to the whole capacity;
+    // six send a twentieth of the capacity each.
     name: "dominant",
-    rate: (a) => a < DOMINANT ? 0.5 : 0.06,
-    load: (a) => a < DOMINANT ? 1 : 0.05,
+    rate: (a) => a < DOMINANT_ACCOUNTS ? 0.5 : 0.06,
+    load: (a) => a < DOMINANT_ACCOUNTS ? 1 : 0.05,
   },
   {
     // One endpoint in five takes ten times as long.
     name: "slow",
-    rate: () => AMPLE,
+    rate: () => UNREACHED_RATE,
     load: () => 0.6 / ACCOUNTS,
     slowness: (e) => e % 5 === 1 ? 10 : 1,
   },
   {
-    // Two accounts send reports that take twelve times as long among reads.
+    // 40% of two accounts' requests take twelve times as long as the others.
     name: "long",
-    rate: () => AMPLE,
+    rate: () => UNREACHED_RATE,
     load: () => 0.35 / ACCOUNTS,
-    longPart: (a) => a < DOMINANT ? 0.4 : 0,
+    longFraction: (a) => a < DOMINANT_ACCOUNTS ? 0.4 : 0,
     longFactor: 12,
   },
   {
-    // Everybody sends half as much again as the slots can serve.
+    // All accounts together send 1.5 times what the slots can serve.
     name: "saturation",
-    rate: () => AMPLE,
+    rate: () => UNREACHED_RATE,
     load: () => 1.5 / ACCOUNTS,
   },
   {
     // An endpoint is drained at ordinary load.
     name: "drain",
-    rate: () => AMPLE,
+    rate: () => UNREACHED_RATE,
     load: () => 0.6 / ACCOUNTS,
     drainAt: 1,
   },
--- a/tools/bench/decisions/patterns_test.ts
+++ b/tools/bench/decisions/patterns_test.ts
@@ -12,7 +12,7 @@
   accounts: 8,
 };
 
-async function play(name: string) {
+async function simulateBoth(name: string) {
   const pattern = PATTERNS.find((p) => p.name === name)!;
   const opts = { seconds: 4, seed: 3 };
   const ours = await simulate(SHAPE, pattern, { ...opts, kind: "fair" });
@@ -25,7 +25,7 @@
 
 interface Expectation {
   readonly name: string;
-  /** How it comes about and what callers notice. */
+  /** Conditions on the reports, by description. */
   readonly holds: Readonly<
     Record<string, (ours: RunReport, baseline: RunReport) => boolean>
   >;
@@ -33,34 +33,35 @@
 
 const EXPECTATIONS: readonly Expectation[] = [
   {
-    // Callers come all at once for a moment. Those that a short wait would
-    // serve are refused without a queue.
+    // Guards against refusing requests during a short burst that a short time in
+    // the queue would have served.
     name: "burst",
     holds: {
-      "hardly anybody is refused": (o) => o.wrongfulRefusals < 0.01,
-      "without a queue many are": (_o, b) => b.wrongfulRefusals > 0.05,
+      "less than 1% are wrongfully refused": (o) => o.wrongfulRefusals < 0.01,
+      "without a queue more than 5% are": (_o, b) => b.wrongfulRefusals > 0.05,
     },
   },
   {
-    // Two accounts send as much as all slots serve. The others, who send
-    // little, are refused along with them where turns are not shared.
+    // Two accounts send as much as all slots serve. Guards against refusing the
+    // small accounts as well, which happens without fair queueing.
     name: "dominant",
     holds: {
-      "nobody gets less than is due": (o) => o.worstAccount > 0.97,
-      "without turns somebody does": (_o, b) => b.worstAccount < 0.85,
+      "every account gets its fair share": (o) => o.worstAccount > 0.97,
+      "without fair queueing some account does not": (_o, b) =>
+        b.worstAccount < 0.85,
     },
   },
   {
-    // Some endpoints take ten times as long. Callers who meet them wait and
-    // then time out, though others are idle.
+    // Some endpoints take ten times as long. Guards against requests that wait
+    // for them and time out while other endpoints are idle.
     name: "slow",
     holds: {
-      "the tail is shorter": (o, b) => o.p99Ms < b.p99Ms,
+      "p99 latency is lower": (o, b) => o.p99Ms < b.p99Ms,
       "fewer are refused": (o, b) => o.wrongfulRefusals < b.wrongfulRefusals,
     },
   },
   {
-    // Reports that take most of a second fill the slots among quick reads.
+    // Guards against long requests (most of a second) starving short ones.
     name: "long",
     holds: {
       "neither kind starves": (o) => o.worstAccount > 0.97,
@@ -68,32 +69,32 @@
     },
   },
   {
-    // Half as much again as the slots can serve, for as long as it lasts. Where
-    // all wait until their deadline, the slots work for nobody.
+    // A constant 1.5 times what the slots can serve. Guards against queueing all
+    // requests until their deadlines, so that slots serve requests that time out.
     name: "saturation",
     holds: {
-      "slots serve as much": (o, b) => o.goodputPerS >= b.goodputPerS,
-      "served answers are quick": (o, b) => o.p99Ms <= b.p99Ms,
-      "everybody has a share": (o) => o.worstAccount > 0.97,
+      "goodput is at least as high": (o, b) => o.goodputPerS >= b.goodputPerS,
+      "p99 latency is not higher": (o, b) => o.p99Ms <= b.p99Ms,
+      "every account gets its fair share": (o) => o.worstAccount > 0.97,
     },
   },
   {
-    // An operator drains an endpoint and waits to stop it.
+    // Guards against new work on a drained endpoint and against a slow drain.
     name: "drain",
     holds: {
-      "no new work goes there": (o) => o.afterDrain === 0,
-      "it is over in a request's time": (o) => (o.drainMs ?? Infinity) < 200,
+      "the drained endpoint gets no new requests": (o) => o.afterDrain === 0,
+      "the drain completes within 200 ms": (o) => (o.drainMs ?? Infinity) < 200,
     },
   },
 ];
 
 for (const { name, holds } of EXPECTATIONS) {
-  test(`callers under the pattern: ${name}`, async (t) => {
-    const { ours, baseline } = await play(name);
-    t.is(ours.overSlots, 0, "slots were passed");
-    for (const [what, check] of Object.entries(holds)) {
+  test(`dispatchers under the load pattern: ${name}`, async (t) => {
+    const { ours, baseline } = await simulateBoth(name);
+    t.is(ours.overSlots, 0, "endpoint slots exceeded");
+    for (const [description, check] of Object.entries(holds)) {
       const figures = JSON.stringify({ ours, baseline });
-      t.true(check(ours, baseline), `${what}: ${figures}`);
+      t.true(check(ours, baseline), `${description}: ${figures}`);
     }
   });
 }
--- a/tools/bench/decisions/simulation.ts
+++ b/tools/bench/decisions/simulation.ts
@@ -1,6 +1,6 @@
 /**
- * Callers, dispatchers and endpoints of one deployment in virtual time, to see
- * what a way of dispatching gives the callers. No network, no real time.
+ * Simulates the callers, dispatchers and endpoints of one deployment in virtual
+ * time and without a network, to compare dispatchers by what callers get.
  *
  * @module
  */
@@ -32,39 +32,39 @@
 } from "./fleet_shape.ts";
 import { LatencyList } from "./latency_list.ts";
 
-/** What callers and endpoints do; loads are parts of the endpoints' capacity. */
+/** Behaviour of callers and endpoints; loads are fractions of the capacity. */
 export interface LoadPattern {
   readonly name: string;
-  /** Offered load of an account at a time, in seconds; 1 fills every slot. */
+  /** Offered load of an account at a time in seconds; 1 fills every slot. */
   readonly load: (account: number, seconds: number) => number;
-  /** Part of the capacity that an account's rate allows. */
+  /** An account's rate, as a fraction of the capacity. */
   readonly rate: (account: number) => number;
-  /** Part of an account's requests that are long. */
-  readonly longPart?: (account: number) => number;
+  /** Fraction of an account's requests that are long. */
+  readonly longFraction?: (account: number) => number;
   readonly longFactor?: number;
-  /** How many times longer an endpoint takes. */
+  /** Factor by which an endpoint is slower. */
   readonly slowness?: (endpoint: number) => number;
   /** When the first endpoint is drained, in seconds. */
   readonly drainAt?: number;
 }
 
-/** What came of a run. */
+/** Results of a run. */
 export interface RunReport {
   readonly goodputPerS: number;
   readonly p50Ms: number;
   readonly p99Ms: number;
-  /** Part of short requests served late: p99 of short work, in milliseconds. */
+  /** p99 latency of short requests, in milliseconds. */
   readonly shortP99Ms: number;
-  /** Served part of the requests within rate, of the account that fared worst. */
+  /** Lowest served fraction of what an account was due, over all accounts. */
   readonly worstAccount: number;
-  /** Part of the requests within rate that were not served. */
+  /** Fraction of the requests within rate that were not served. */
   readonly wrongfulRefusals: number;
-  /** Mean part of the slots that were free. */
+  /** Mean fraction of slots that were free. */
   readonly headroom: number;
   readonly drainMs: number | null;
-  /** Requests that reached the drained endpoint two seconds after or later. */
+  /** Requests that reached the endpoint two seconds or more after its drain. */
   readonly afterDrain: number;
-  /** Most work over an endpoint's slots; 0 if they were never passed. */
+  /** Most requests beyond an endpoint's slots; 0 if never exceeded. */
   readonly overSlots: number;
 }
 
@@ -76,9 +76,9 @@
   running: number;
 }
 
-interface Caller {
+interface SimulatedRequest {
   readonly account: number;
-  /** Whether it came after the warm-up. */
+  /** Whether it was sent after the warm-up. */
   readonly counts: boolean;
   readonly long: boolean;
   readonly sentAt: number;
@@ -95,14 +95,14 @@
 const STEP_MS = 1;
 const TICK_MS = 100;
 const DEADLINE_FACTOR = 12;
-const MAX_TRIES = 3;
+const MAX_ATTEMPTS = 3;
 const BURST_S = 0.5;
-const FLUSHES = 4;
-/** Learning and queues settle before anything is counted. */
+const MICROTASK_TURNS = 4;
+/** Latency estimates and queues settle before anything is counted. */
 const WARM_UP_S = 2;
 const AFTER_DRAIN_MS = 2_000;
 
-/** Runs a pattern and tells what callers got. */
+/** Simulates a pattern and reports what callers got. */
 export async function simulate(
   shape: FleetShape,
   pattern: LoadPattern,
@@ -112,24 +112,24 @@
     seed: number;
   },
 ): Promise<RunReport> {
-  const run = new Run(shape, pattern, { kind, seed });
+  const run = new Simulation(shape, pattern, { kind, seed });
   const steps = (WARM_UP_S + seconds) * 1_000 / STEP_MS;
   for (let i = 0; i < steps; i++) await run.step(true);
-  // What came last has until its deadline.
-  const rest = run.longestMs / STEP_MS;
-  for (let i = 0; i < rest; i++) await run.step(false);
+  // The last requests still have until their deadlines.
+  const remainingSteps = run.longestMs / STEP_MS;
+  for (let i = 0; i < remainingSteps; i++) await run.step(false);
   return run.report(seconds);
 }
 
-class Run {
+class Simulation {
   readonly #shape: FleetShape;
   readonly #pattern: LoadPattern;
   readonly #clock = new ManualClock();
   readonly #random: Random;
   readonly #dispatchers: Dispatcher[];
   readonly #endpoints = new Map<string, Endpoint>();
-  readonly #due = new Map<number, (() => void)[]>();
-  readonly #rates: TokenBucket[];
+  readonly #scheduled = new Map<number, (() => void)[]>();
+  readonly #rateLimits: TokenBucket[];
   readonly #tallies: Tally[];
   readonly #latencies = new LatencyList();
   readonly #shortLatencies = new LatencyList();
@@ -159,14 +159,14 @@
       (_, i) => this.#dispatcher(i, { kind, seed, document }),
     );
     const perS = this.#capacityPerS;
-    this.#rates = accountsOf(shape).map((a) => {
+    this.#rateLimits = accountsOf(shape).map((a) => {
       const ratePerS = pattern.rate(a) * perS;
       return new TokenBucket({ ratePerS, burst: ratePerS * BURST_S }, 0);
     });
     this.#tallies = accountsOf(shape).map(() => ({ withinRate: 0, served: 0 }));
   }
 
-  /** Longest time from a request to its end, in milliseconds. */
+  /** Longest possible duration of a request, in milliseconds. */
   get longestMs(): number {
     return DEADLINE_FACTOR * this.#shape.workMs * this.#longFactor;
   }
@@ -174,15 +174,15 @@
   async step(arrivals: boolean): Promise<void> {
     this.#clock.advance(STEP_MS);
     const now = this.#clock.now();
-    for (const run of this.#due.get(now) ?? []) run();
-    this.#due.delete(now);
+    for (const run of this.#scheduled.get(now) ?? []) run();
+    this.#scheduled.delete(now);
     if (now % TICK_MS === 0) { for (const d of this.#dispatchers) d.tick(now); }
     this.#drainIfDue(now);
     if (arrivals) {
-      for (const a of accountsOf(this.#shape)) this.#arrivals(a, now);
-      this.#sample();
+      for (const a of accountsOf(this.#shape)) this.#generateArrivals(a, now);
+      this.#sampleUsage();
     }
-    for (let i = 0; i < FLUSHES; i++) await Promise.resolve();
+    for (let i = 0; i < MICROTASK_TURNS; i++) await Promise.resolve();
   }
 
   report(seconds: number): RunReport {
@@ -204,21 +204,24 @@
   }
 
   /**
-   * Served part of what an account was due, of the one that fared worst: its
-   * requests within rate, but no more than a fair share of all slots.
+   * Lowest served fraction over all accounts of what each was due: its requests
+   * within rate, but no more than a fair share of the capacity.
    */
   #worstAccount(tallies: readonly Tally[], seconds: number): number {
-    const capacity = this.#capacityPerS * seconds / this.#meanFactor;
+    const capacity = this.#capacityPerS * seconds / this.#meanWorkFactor;
     const share = fairShare(tallies.map((t) => t.withinRate), capacity);
-    const parts = tallies.map((t) => t.served / Math.min(t.withinRate, share));
-    return Math.min(1, ...parts);
+    const servedFractions = tallies.map((t) =>
+      t.served / Math.min(t.withinRate, share)
+    );
+    return Math.min(1, ...servedFractions);
   }
 
-  /** Mean work of a request, in ordinary ones. */
-  get #meanFactor(): number {
-    const parts = accountsOf(this.#shape)
-      .map((a) => this.#pattern.longPart?.(a) ?? 0);
-    const long = parts.reduce((n, p) => n + p, 0) / parts.length;
+  /** Mean work of a request, in units of a short request. */
+  get #meanWorkFactor(): number {
+    const longFractions = accountsOf(this.#shape)
+      .map((a) => this.#pattern.longFraction?.(a) ?? 0);
+    const long = longFractions.reduce((n, p) => n + p, 0) /
+      longFractions.length;
     return 1 + long * (this.#longFactor - 1);
   }
 
@@ -249,7 +252,7 @@
     return dispatcher;
   }
 
-  #arrivals(account: number, now: number): void {
+  #generateArrivals(account: number, now: number): void {
     const load = this.#pattern.load(account, now / 1_000);
     let expected = load * this.#capacityPerS * STEP_MS / 1_000;
     for (; expected > 0; expected -= 1) {
@@ -258,13 +261,14 @@
   }
 
   #arrive(account: number, now: number): void {
-    const long = this.#random.next() < (this.#pattern.longPart?.(account) ?? 0);
+    const long =
+      this.#random.next() < (this.#pattern.longFraction?.(account) ?? 0);
     const workMs = this.#shape.workMs * (long ? this.#longFactor : 1);
-    // An ideal rate limiter stands before both dispatchers.
-    if (!this.#rates[account]!.take(now)) return;
+    // An ideal rate limiter precedes both dispatchers.
+    if (!this.#rateLimits[account]!.take(now)) return;
     const counts = now >= WARM_UP_S * 1_000;
     if (counts) this.#tallies[account]!.withinRate += 1;
-    this.#try({
+    this.#attempt({
       account,
       counts,
       long,
@@ -278,34 +282,34 @@
     return this.#pattern.longFactor ?? 1;
   }
 
-  #try(caller: Caller): void {
+  #attempt(caller: SimulatedRequest): void {
     caller.tries += 1;
     const dispatcher = this
       .#dispatchers[this.#random.below(this.#dispatchers.length)]!;
-    const gone = new AbortController();
+    const abort = new AbortController();
     void dispatcher.acquire({
       service: SERVICE,
       account: `a${caller.account}` as AccountId,
       idempotent: true,
       deadline: caller.deadline,
       work: caller.long ? "long" : "short",
-    }, gone.signal).then((slot) => {
+    }, abort.signal).then((slot) => {
       if (slot.isOk()) this.#start(caller, slot.value);
       else this.#retry(caller, slot.error.retryAfterMs ?? 100);
     });
   }
 
-  /** As the caller library does: later, while there is time. */
-  #retry(caller: Caller, afterMs: number): void {
+  /** Retries later if the deadline allows, as the client library does. */
+  #retry(caller: SimulatedRequest, afterMs: number): void {
     const now = this.#clock.now();
     const at = now +
       Math.max(1, Math.round(afterMs * (0.5 + this.#random.next())));
-    if (caller.tries < MAX_TRIES && at < caller.deadline) {
-      this.#at(at, () => this.#try(caller));
+    if (caller.tries < MAX_ATTEMPTS && at < caller.deadline) {
+      this.#schedule(at, () => this.#attempt(caller));
     }
   }
 
-  #start(caller: Caller, slot: Slot): void {
+  #start(caller: SimulatedRequest, slot: Slot): void {
     const now = this.#clock.now();
     const endpoint = this.#endpoints.get(slot.endpoint)!;
     endpoint.running += 1;
@@ -322,16 +326,16 @@
       (0.8 + 0.4 * this.#random.next());
     const ends = now + Math.max(1, Math.round(this.#shape.workMs * factor));
     const last = Math.round(caller.deadline);
-    this.#at(Math.min(ends, last), () => {
+    this.#schedule(Math.min(ends, last), () => {
       endpoint.running -= 1;
       this.#end(caller, slot, ends <= last);
     });
   }
 
-  #end(caller: Caller, slot: Slot, inTime: boolean): void {
+  #end(caller: SimulatedRequest, slot: Slot, inTime: boolean): void {
     const now = this.#clock.now();
     slot.release(inTime ? "ok" : "timeout", now);
-    this.#noteDrained(slot.endpoint, now);
+    this.#recordDrainEnd(slot.endpoint, now);
     if (!inTime || !caller.counts) return;
     this.#served += 1;
     this.#latencies.add(now - caller.sentAt);
@@ -352,14 +356,14 @@
     for (const d of this.#dispatchers) d.adopt(document, now);
   }
 
-  #noteDrained(endpoint: string, now: number): void {
+  #recordDrainEnd(endpoint: string, now: number): void {
     if (!this.#drained || endpoint !== "e0") return;
     if (this.#endpoints.get("e0")!.running === 0) {
       this.#drainMs ??= now - this.#drainStart;
     }
   }
 
-  #sample(): void {
+  #sampleUsage(): void {
     const all = this.#shape.endpoints * this.#shape.slots;
     let busy = 0;
     for (const { running } of this.#endpoints.values()) busy += running;
@@ -367,10 +371,10 @@
     this.#busySamples += 1;
   }
 
-  #at(ms: number, run: () => void): void {
+  #schedule(ms: number, run: () => void): void {
     const at = Math.max(ms, this.#clock.now() + STEP_MS);
-    const due = this.#due.get(at);
+    const due = this.#scheduled.get(at);
     if (due) due.push(run);
-    else this.#due.set(at, [run]);
+    else this.#scheduled.set(at, [run]);
   }
 }
--- a/tools/bench/fleet.ts
+++ b/tools/bench/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * What telling each other costs an instance, by the size of the fleet: digests,
- * the rates and the load that go by them, without a network.
+ * `npm run bench -- fleet`: what gossip costs an instance, by fleet size: digests
+ * and the quotas and load computed from them, without a network.
  *
  * @module
  */
@@ -29,15 +29,15 @@
   { zones: 9, perZone: 22, accounts: 140, endpoints: 340 },
   { zones: 9, perZone: 33, accounts: 140, endpoints: 340 },
 ];
-/** Accounts and endpoints with requests of one instance at a moment. */
-const BUSY_ACCOUNTS = 14;
-const BUSY_ENDPOINTS = 14;
+/** Accounts and endpoints for which an instance has requests at one time. */
+const ACTIVE_ACCOUNTS = 14;
+const ACTIVE_ENDPOINTS = 14;
 const SETTLE_MS = 3_000;
 const MEASURED_S = 2;
 const MS_PER_S = 1_000;
-const MICROS_PER_MS = 1_000;
+const US_PER_MS = 1_000;
 
-/** Plays each size and prints what an instance sends, takes in and works. */
+/** Simulates each size and prints an instance's CPU time and sent data. */
 export async function benchFleet(): Promise<void> {
   const rows = [];
   for (const size of SIZES) {
@@ -55,30 +55,30 @@
   const fleet = new MemberFleet(names, perZone);
   await Promise.resolve();
   for (const [i, member] of fleet.members.entries()) {
-    engage(member, i, fleet, { accounts, endpoints });
+    addLoad(member, i, fleet, { accounts, endpoints });
   }
   fleet.advance(SETTLE_MS);
   const before = { ...fleet.sent };
   const cpu = process.cpuUsage();
   fleet.advance(MEASURED_S * MS_PER_S);
   const { user, system } = process.cpuUsage(cpu);
-  const per = fleet.members.length * MEASURED_S;
+  const instanceSeconds = fleet.members.length * MEASURED_S;
   return {
     instances: fleet.members.length,
     zones,
     accounts,
     endpoints,
-    cpuMsPerS: round((user + system) / MICROS_PER_MS / per),
-    sentPerS: round((fleet.sent.count - before.count) / per),
-    bytesPerS: Math.round((fleet.sent.bytes - before.bytes) / per),
+    cpuMsPerS: round((user + system) / US_PER_MS / instanceSeconds),
+    sentPerS: round((fleet.sent.count - before.count) / instanceSeconds),
+    bytesPerS: Math.round((fleet.sent.bytes - before.bytes) / instanceSeconds),
     acrossBytesPerS: Math.round(
-      (fleet.sent.acrossBytes - before.acrossBytes) / per,
+      (fleet.sent.acrossBytes - before.acrossBytes) / instanceSeconds,
     ),
   };
 }
 
-/** Gives a member demand, requests in flight and the parts that go by news. */
-function engage(
+/** Gives a member demand, requests in flight and consumers of gossip reports. */
+function addLoad(
   member: TestMember,
   index: number,
   fleet: MemberFleet,
@@ -90,16 +90,20 @@
   });
   quotas.adopt(all, fleet.clock.now());
   const load = new PeerLoad(() => undefined);
-  const busy = Math.min(BUSY_ACCOUNTS, all.length);
+  const activeCount = Math.min(ACTIVE_ACCOUNTS, all.length);
   member.consumer = {
-    reported: (news, now) => {
-      quotas.applyReport({ ...news, instance: news.group }, news.uses, now);
-      load.applyReport(news.group, news.inFlight);
+    reported: (report, now) => {
+      quotas.applyReport(
+        { ...report, instance: report.group },
+        report.uses,
+        now,
+      );
+      load.reported(report.group, report.inFlight);
     },
     report: (now) => {
-      for (let i = 0; i < busy; i++) {
-        // The first accounts are large: every instance is asked for them.
-        const at = i < busy / 2 ? i : (index * 7 + i * 13) % all.length;
+      for (let i = 0; i < activeCount; i++) {
+        // The first accounts are large: they send requests to every instance.
+        const at = i < activeCount / 2 ? i : (index * 7 + i * 13) % all.length;
         const subject = all[at];
         if (subject !== undefined) quotas.take(subject, now);
       }
@@ -107,7 +111,7 @@
     },
     reservations: () => quotas.reservations,
   };
-  for (let i = 0; i < Math.min(BUSY_ENDPOINTS, size.endpoints); i++) {
+  for (let i = 0; i < Math.min(ACTIVE_ENDPOINTS, size.endpoints); i++) {
     const at = (index * 11 + i * 17) % size.endpoints;
     member.inFlight.set(`endpoint-${at}` as EndpointId, 1 + i % 2);
   }
--- a/tools/bench/instance_cost.ts
+++ b/tools/bench/instance_cost.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- start` and `-- request`: processor time of the bundled
- * program against this repository's stand-ins, its threads apart.
+ * `npm run bench -- start` and `-- request`: CPU time of the bundled program, by
+ * thread, run against this repository's fake endpoints and store.
  *
  * @module
  */
@@ -13,9 +13,9 @@
 import { statMs } from "./proc_stat.ts";
 import { StandInWorld } from "../standins/stand_in_world.ts";
 
-/** Other flags of the runtime can be tried, separated by spaces. */
+/** `BENCH_FLAGS` replaces the Node.js flags; separated by spaces. */
 const NODE_FLAGS = process.env.BENCH_FLAGS?.split(" ") ?? RUNTIME_FLAGS;
-const MEASURED = { program: PROGRAM, nodeFlags: NODE_FLAGS };
+const LAUNCH_OPTIONS = { program: PROGRAM, nodeFlags: NODE_FLAGS };
 const STARTS = 6;
 const START_MS = 2_500;
 const START_PER_S = 50;
@@ -23,23 +23,23 @@
 const SAMPLE_MS = 8_000;
 const MS_PER_S = 1_000;
 
-/** Processor time of a process, in milliseconds. */
+/** CPU time of a process. */
 interface ProcessorTime {
   readonly mainMs: number;
-  /** Threads of the runtime: compiler, collector, file system. */
+  /** Runtime threads: compiler, garbage collector, file system. */
   readonly otherMs: number;
 }
 
-/** Prints what a start costs until 2.5 s after it, callers included. */
+/** Prints the CPU time of the first 2.5 s after a start, under load. */
 export async function benchStart(): Promise<void> {
   const world = await StandInWorld.open();
   try {
     const rows: ProcessorTime[] = [];
     for (let i = 0; i < STARTS; i++) {
-      const instance = world.start(MEASURED);
+      const instance = world.start(LAUNCH_OPTIONS);
       const load = world.load(instance, START_PER_S, START_MS);
       await sleep(START_MS);
-      rows.push(processorTime(instance));
+      rows.push(readProcessorTime(instance));
       await load;
       await instance.close();
     }
@@ -52,7 +52,7 @@
   }
 }
 
-/** Prints what requests cost at rising rates, each in a new process. */
+/** Prints the CPU time per request at rising rates, each in a new process. */
 export async function benchRequest(): Promise<void> {
   const world = await StandInWorld.open();
   try {
@@ -77,17 +77,17 @@
   }
 }
 
-/** Processor time of a fresh instance over the sample, once it is ready. */
+/** CPU time of a new instance over the sample, measured once it is ready. */
 async function measure(
   world: StandInWorld,
   perS: number,
 ): Promise<{ time: ProcessorTime; answered: number }> {
-  const instance = world.start(MEASURED);
+  const instance = world.start(LAUNCH_OPTIONS);
   while (!await instance.ready()) await sleep(100);
   await sleep(START_MS);
-  const before = processorTime(instance);
+  const before = readProcessorTime(instance);
   const answered = await world.load(instance, perS, SAMPLE_MS);
-  const after = processorTime(instance);
+  const after = readProcessorTime(instance);
   await instance.close();
   const time = {
     mainMs: after.mainMs - before.mainMs,
@@ -96,9 +96,9 @@
   return { time, answered };
 }
 
-/** User and system time by thread. */
-function processorTime({ pid }: InstanceProcess): ProcessorTime {
-  if (pid === undefined) throw new Error("the instance has ended");
+/** Reads user plus system time, of the main thread and of all others. */
+function readProcessorTime({ pid }: InstanceProcess): ProcessorTime {
+  if (pid === undefined) throw new Error("the instance process is not running");
   let mainMs = 0;
   let otherMs = 0;
   for (const thread of readdirSync(`/proc/${pid}/task`)) {
--- a/tools/bench/lookup.ts
+++ b/tools/bench/lookup.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- lookup`: look-ups by client address at rising numbers of
- * blocks, against a plain `Map` with one entry a prefix, in the same run.
+ * `npm run bench -- lookup`: lookups by client address at rising numbers of
+ * CIDR blocks, compared with a plain `Map` with one entry per prefix.
  *
  * @module
  */
@@ -24,7 +24,7 @@
 const SEED = 7;
 const V4_SPACE = 2 ** 32;
 
-/** One line of the table. */
+/** One row of the table. */
 interface Row {
   readonly blocks: number;
   readonly lookups_per_s: number;
@@ -52,14 +52,14 @@
 
 function measure(count: number): Row {
   const sections = makeSections(count, new SeededRandom(SEED));
-  const before = heldBytes();
+  const before = memoryInUse();
   const map = new ClientSiteMap();
   for (const [name, s] of sections) map.replace(name, s);
   const buildMs = timed(() => map.rebuild(Infinity));
-  const mb = (heldBytes() - before + packedBytes(sections)) / 1e6;
+  const mb = (memoryInUse() - before + packedBytes(sections)) / 1e6;
   const speed = lookupsPerS((address) => map.siteOfValue("v4", address));
-  const change = changeOne(map, sections);
-  const plain = plainMap(sections);
+  const change = measureChange(map, sections);
+  const plain = baselineMap(sections);
   return {
     blocks: count,
     lookups_per_s: speed,
@@ -71,8 +71,8 @@
   };
 }
 
-/** Some blocks of a section go to another site, a few parts at a time as in an instance. */
-function changeOne(map: ClientSiteMap, sections: Map<string, SiteSection>) {
+/** Moves some blocks to another site and rebuilds in steps, as instances do. */
+function measureChange(map: ClientSiteMap, sections: Map<string, SiteSection>) {
   const [name, section] = [...sections][0] as [string, SiteSection];
   const sites = section.blocks.v4.sites.slice();
   for (let i = 0; i < CHANGED_BLOCKS; i++) {
@@ -91,9 +91,9 @@
   return { change_ms: round(total), longest_pause_ms: round(longest) };
 }
 
-/** The baseline: every prefix length is tried, the longest first. */
-function plainMap(sections: Map<string, SiteSection>) {
-  const before = heldBytes();
+/** The baseline: tries every prefix length, longest first. */
+function baselineMap(sections: Map<string, SiteSection>) {
+  const before = memoryInUse();
   const sites = new Map<string, string>();
   const lengths = new Set<number>();
   for (const section of sections.values()) {
@@ -113,10 +113,10 @@
     }
     return undefined;
   };
-  return { find, mb: (heldBytes() - before) / 1e6 };
+  return { find, mb: (memoryInUse() - before) / 1e6 };
 }
 
-/** Blocks from /16 to /24, as networks announce them, mostly /24. */
+/** Generates blocks from /16 to /24, mostly /24, as networks announce them. */
 function makeSections(count: number, random: Random): Map<string, SiteSection> {
   const blocks: SiteBlock[][] = Array.from({ length: SECTIONS }, () => []);
   const perSection = SITES / SECTIONS;
@@ -156,12 +156,12 @@
   const ms = timed(() => {
     for (const address of addresses) if (find(address) !== undefined) found++;
   });
-  if (found === 0) throw new Error("no look-up found a site");
+  if (found === 0) throw new Error("no lookup found a site");
   return Math.round(LOOKUPS / ms * 1_000);
 }
 
-/** Bytes held after a collection; needs `--expose-gc`. */
-function heldBytes(): number {
+/** Bytes in use after a garbage collection; needs `--expose-gc`. */
+function memoryInUse(): number {
   globalThis.gc?.();
   const { heapUsed, arrayBuffers } = process.memoryUsage();
   return heapUsed + arrayBuffers;
--- a/tools/bench/main.ts
+++ b/tools/bench/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- NAME`: measurements as programs; each prints a table and a
- * last line of JSON.
+ * `npm run bench -- NAME`: runs a benchmark, which prints a table and a final
+ * line of JSON.
  *
  * @module
  */
@@ -12,7 +12,7 @@
 import { benchLookup } from "./lookup.ts";
 import { benchPath } from "./path.ts";
 
-/** Benchmarks by name; a name is what the command line takes. */
+/** Benchmarks by command-line name. */
 const BENCHES: Readonly<Record<string, () => void | Promise<void>>> = {
   control: benchControl,
   decisions: benchDecisions,
@@ -22,11 +22,11 @@
   request: benchRequest,
   start: benchStart,
 };
-const BAD_INPUT = 2;
+const BAD_INPUT_EXIT_CODE = 2;
 
 const bench = BENCHES[process.argv[2] ?? ""];
 if (bench === undefined) {
   const names = Object.keys(BENCHES).join(", ");
   console.error(`usage: npm run bench -- NAME, one of: ${names}`);
-  process.exitCode = BAD_INPUT;
+  process.exitCode = BAD_INPUT_EXIT_CODE;
 } else await bench();
--- a/tools/bench/path.ts
+++ b/tools/bench/path.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- path`: the time a request gains by going through an entry
- * instance, against the same request sent straight to the endpoint, in one run.
+ * `npm run bench -- path`: the latency that an entry instance adds to a request,
+ * compared with the same request sent directly to the endpoint in the same run.
  *
  * @module
  */
@@ -26,10 +26,10 @@
   accounts: { [ACCOUNT]: { ratePerS: 100_000, burst: 100_000 } },
 };
 
-/** Whether callers keep their connections or open one a request. */
+/** Whether callers reuse connections or open one per request. */
 type Connections = "kept" | "new";
 
-/** Latency of one way, in milliseconds. */
+/** Latency of one path. */
 interface Latency {
   readonly p50_ms: number;
   readonly p99_ms: number;
@@ -44,10 +44,13 @@
     const rows: Record<string, Latency & { gained_p50_ms: number }> = {};
     for (const connections of ["kept", "new"] as const) {
       const base = await measure(direct, connections);
-      const own = await measure(through, connections);
-      const gained = round(own.p50_ms - base.p50_ms);
+      const viaInstance = await measure(through, connections);
+      const addedMs = round(viaInstance.p50_ms - base.p50_ms);
       rows[`direct, ${connections}`] = { ...base, gained_p50_ms: 0 };
-      rows[`through, ${connections}`] = { ...own, gained_p50_ms: gained };
+      rows[`through, ${connections}`] = {
+        ...viaInstance,
+        gained_p50_ms: addedMs,
+      };
     }
     console.table(rows);
     console.log(JSON.stringify({ bench: "path", rows }));
@@ -69,23 +72,23 @@
   };
 }
 
-interface Sending {
+interface SendOptions {
   readonly connections: Connections;
   readonly count: number;
   readonly histogram: Histogram;
 }
 
-/** A few callers, each with one request at a time. */
+/** Sends the requests from a few callers, each with one in flight at a time. */
 async function sendAll(
   urls: readonly string[],
-  sending: Sending,
+  opts: SendOptions,
 ): Promise<void> {
   const kept = new Agent({ connections: CALLERS });
   const callers = Array.from({ length: CALLERS }, async (_, caller) => {
-    for (let i = caller; i < sending.count; i += CALLERS) {
+    for (let i = caller; i < opts.count; i += CALLERS) {
       const url = urls[i % urls.length] as string;
-      const agent = sending.connections === "kept" ? kept : new Agent();
-      sending.histogram.recordValue(await timeOne(url, agent));
+      const agent = opts.connections === "kept" ? kept : new Agent();
+      opts.histogram.recordValue(await measureRequestUs(url, agent));
       if (agent !== kept) await agent.close();
     }
   });
@@ -93,8 +96,11 @@
   await kept.close();
 }
 
-/** Microseconds until the whole answer is there. */
-async function timeOne(url: string, dispatcher: Dispatcher): Promise<number> {
+/** Measures the time to receive the complete response, in microseconds. */
+async function measureRequestUs(
+  url: string,
+  dispatcher: Dispatcher,
+): Promise<number> {
   const from = performance.now();
   const headers = {
     authorization: `Bearer ${keyOf(ACCOUNT)}`,
--- a/tools/bench/proc_stat.ts
+++ b/tools/bench/proc_stat.ts
@@ -1,18 +1,18 @@
 /**
- * Processor time of processes and threads on Linux.
+ * CPU time of processes and threads on Linux.
  *
  * @module
  */
 import { readFileSync } from "node:fs";
 
 const MS_PER_S = 1_000;
-/** Kernel clock ticks a second in /proc on Linux. */
+/** Kernel clock ticks per second in /proc on Linux. */
 const TICKS_PER_S = 100;
 
-/** User and system time in a stat file, fields 14 and 15, in milliseconds. */
+/** User plus system time (fields 14 and 15) of a stat file, in milliseconds. */
 export function statMs(file: string): number {
   const stat = readFileSync(file, "utf8");
-  // The name, the second field, may contain spaces.
+  // The second field, the process name, may contain spaces.
   const fields = stat.slice(stat.lastIndexOf(")") + 2).split(" ");
   const ticks = Number(fields[11]) + Number(fields[12]);
   return ticks * MS_PER_S / TICKS_PER_S;
