--- a/tools/demo/deployments.ts
+++ b/tools/demo/deployments.ts
@@ -1,5 +1,5 @@
 /**
- * The two deployments of today, at their own sizes.
+ * The two existing deployments, at their real sizes.
  *
  * @module
  */
@@ -9,9 +9,9 @@
   readonly targets: number;
   readonly slots: number;
   readonly idempotent: boolean;
-  /** Time a request takes at an endpoint, in milliseconds. */
+  /** Time that an endpoint works on a request. */
   readonly workMs: number;
-  /** Part of all requests that go here. */
+  /** Fraction of all requests that go to this service. */
   readonly mix: number;
 }
 
@@ -108,15 +108,15 @@
   },
 };
 
-/** The key of an account in examples and demos. */
+/** The API key of an account in examples and demos. */
 export function keyOf(account: string): string {
   return `example-key-of-${account}`;
 }
 
-/** The token of the one operator of examples and demos. */
+/** The token of the single operator role in examples and demos. */
 export const OPERATOR_TOKEN = "example-token-of-the-operator";
 
-/** The document's sections, endpoints at the addresses that `urlOf` names. */
+/** Builds the document's sections; `urlOf` gives the URL of an endpoint. */
 export function sectionsOf(
   deployment: Deployment,
   { urlOf, digest }: {
@@ -158,18 +158,18 @@
   };
 }
 
-/** Where an endpoint stands. */
-export interface EndpointPlace {
+/** An endpoint with its service and zone. */
+export interface EndpointLocation {
   readonly id: string;
   readonly zone: string;
   readonly service: string;
   readonly spec: DeploymentService;
 }
 
-/** Every endpoint of a deployment with its zone. */
+/** Lists every endpoint of a deployment. */
 export function endpointList(
   deployment: Deployment,
-): EndpointPlace[] {
+): EndpointLocation[] {
   const zones = Object.values(deployment.regions).flat();
   return Object.entries(deployment.services).flatMap(([name, service]) =>
     Array.from({ length: service.targets }, (_, i) => ({
--- a/tools/demo/endpoints_main.ts
+++ b/tools/demo/endpoints_main.ts
@@ -1,7 +1,7 @@
 /**
- * The endpoints of one availability zone as a process, with a control
- * listener: `GET /runs` gives what they recorded, `POST /slow/ID/FACTOR` makes
- * one slow.
+ * Runs the endpoints of one availability zone in one process, with a control
+ * listener: `GET /runs` returns the recorded requests, `POST /slow/ID/FACTOR`
+ * slows one endpoint down.
  *
  * @module
  */
--- a/tools/demo/events.ts
+++ b/tools/demo/events.ts
@@ -1,5 +1,5 @@
 /**
- * What may happen during a demo.
+ * Faults and operator actions that a demo run can include.
  *
  * @module
  */
@@ -22,30 +22,30 @@
 const STEADY_LOAD = 0.5;
 const BURST_LOAD = 4;
 const SLOW_FACTOR = 10;
-/** When the event happens, as a part of the run. */
+/** When the event happens, as a fraction of the run. */
 const EVENT_AT = 0.4;
 const BURST_UNTIL = 0.7;
 
-/** When an event happens, in milliseconds into the run. */
+/** When the event happens, in milliseconds from the start of the run. */
 export function eventAtMs(seconds: number): number {
   return seconds * 1_000 * EVENT_AT;
 }
 
-/** Part of its rate that an account sends at: half, but for a burst's one. */
+/** Load of an account as a fraction of its rate; a burst affects one account. */
 export function loadFor(
   event: EventName,
   seconds: number,
 ): (account: string, elapsedMs: number) => number {
   return (account, elapsedMs) => {
-    const part = elapsedMs / (seconds * 1_000);
+    const elapsedFraction = elapsedMs / (seconds * 1_000);
     const bursting = event === "burst" && account.endsWith("-2") &&
-      part >= EVENT_AT && part < BURST_UNTIL;
+      elapsedFraction >= EVENT_AT && elapsedFraction < BURST_UNTIL;
     return bursting ? BURST_LOAD : STEADY_LOAD;
   };
 }
 
-/** Makes the event happen and records when. */
-export async function happen(
+/** Triggers the event; returns what was edited and when. */
+export async function triggerEvent(
   event: EventName,
   fleet: Fleet,
 ): Promise<EventRecord> {
@@ -71,7 +71,7 @@
   }
 }
 
-/** The first endpoint of each service is drained and one instance stopped. */
+/** Drains the first endpoint of each service and stops one instance. */
 async function drain(fleet: Fleet): Promise<EventRecord> {
   const drainedEndpoints = firstEndpoints(fleet);
   const drains = drainedEndpoints.map((id) => ({ kind: "endpoint", id }));
--- a/tools/demo/fleet.ts
+++ b/tools/demo/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * One deployment as separate processes on loopback: the store, the endpoints
- * of each availability zone, and the entry instances.
+ * Runs one deployment as separate processes on loopback: the store, the
+ * endpoints of each availability zone, and the entry instances.
  *
  * @module
  */
@@ -45,12 +45,12 @@
   readonly adminUrl: string;
 }
 
-/** Exit code of a runner that was ended from outside. */
-const INTERRUPTED = 130;
+/** Exit code after SIGINT or SIGTERM. */
+const INTERRUPTED_EXIT_CODE = 130;
 const SIGNALS = ["SIGINT", "SIGTERM"] as const;
 const TSX = "--import=tsx";
-const SETTLE_POLL_MS = 100;
-const SETTLE_LIMIT_MS = 15_000;
+const READY_POLL_MS = 100;
+const READY_TIMEOUT_MS = 15_000;
 
 /** A running deployment; `close` ends every process it started. */
 export class Fleet {
@@ -68,9 +68,9 @@
   /** Starts all processes and waits until every instance is ready. */
   static async start(deployment: Deployment): Promise<Fleet> {
     const fleet = new Fleet(deployment);
-    // A runner that is ended from outside would leave its processes behind,
-    // and they would slow down whatever is measured next on the machine.
-    for (const signal of SIGNALS) process.once(signal, fleet.#abandon);
+    // Without this, an interrupted runner would leave its child processes behind,
+    // which would distort the next measurement on the machine.
+    for (const signal of SIGNALS) process.once(signal, fleet.#closeAndExit);
     try {
       await fleet.#start();
       return fleet;
@@ -81,7 +81,7 @@
   }
 
   async close(): Promise<void> {
-    for (const signal of SIGNALS) process.off(signal, this.#abandon);
+    for (const signal of SIGNALS) process.off(signal, this.#closeAndExit);
     await Promise.all(this.#children.map((child) => end(child, "SIGKILL")));
     if (this.#dir) await rm(this.#dir, { recursive: true });
   }
@@ -113,7 +113,7 @@
     });
   }
 
-  /** Makes the store refuse every call, or answer again. */
+  /** Makes the store refuse every call, or accept calls again. */
   async storeDown(down: boolean): Promise<void> {
     await fetch(`${this.#storeUrl}/faults`, {
       method: "POST",
@@ -122,12 +122,12 @@
     });
   }
 
-  /** Where the endpoints are. */
+  /** URLs of all endpoints. */
   endpointUrls(): string[] {
     return this.#endpoints.flatMap((e) => e.urls).map(([, url]) => url);
   }
 
-  /** Store calls so far, by name; a waiting watch is one. */
+  /** Store calls so far, by name; a pending watch counts as one. */
   async storeCalls(): Promise<Record<string, number>> {
     const res = await fetch(`${this.#storeUrl}/calls`);
     return await res.json() as Record<string, number>;
@@ -143,7 +143,7 @@
     );
   }
 
-  /** What all endpoints recorded. */
+  /** Requests recorded by all endpoints. */
   async runs(): Promise<RunRecord[]> {
     const all = await Promise.all(
       this.#endpoints.map(async ({ control }) =>
@@ -153,8 +153,8 @@
     return all.flat();
   }
 
-  readonly #abandon = () => {
-    void this.close().then(() => process.exit(INTERRUPTED));
+  readonly #closeAndExit = () => {
+    void this.close().then(() => process.exit(INTERRUPTED_EXIT_CODE));
   };
 
   async #start(): Promise<void> {
@@ -167,7 +167,7 @@
     this.#endpoints = await this.#startEndpoints();
     await this.edit(this.sections());
     this.instances.push(...await this.#startInstances());
-    await this.#settle();
+    await this.#waitUntilReady();
   }
 
   async #startEndpoints(): Promise<EndpointsReady[]> {
@@ -188,13 +188,13 @@
   }
 
   async #startInstances(): Promise<FleetInstance[]> {
-    const places = Object.entries(this.deployment.regions).flatMap(
+    const locations = Object.entries(this.deployment.regions).flatMap(
       ([region, zones]) => zones.map((zone) => ({ region, zone })),
     );
-    const started = places.flatMap((place) =>
+    const started = locations.flatMap((location) =>
       Array.from(
         { length: this.deployment.instancesPerZone },
-        (_, i) => this.startInstance(place, i + 1),
+        (_, i) => this.startInstance(location, i + 1),
       )
     );
     return await Promise.all(started);
@@ -225,12 +225,12 @@
     return started;
   }
 
-  async #settle(): Promise<void> {
-    const until = Date.now() + SETTLE_LIMIT_MS;
-    while (Date.now() < until) {
+  async #waitUntilReady(): Promise<void> {
+    const deadline = Date.now() + READY_TIMEOUT_MS;
+    while (Date.now() < deadline) {
       const ready = await Promise.all(this.instances.map(isReady));
       if (ready.every(Boolean)) return;
-      await new Promise((resolve) => setTimeout(resolve, SETTLE_POLL_MS));
+      await new Promise((resolve) => setTimeout(resolve, READY_POLL_MS));
     }
     throw new Error("the instances did not become ready");
   }
--- a/tools/demo/judge.ts
+++ b/tools/demo/judge.ts
@@ -1,6 +1,6 @@
 /**
- * Judges a run by what callers and endpoints recorded; the entry instances are
- * not asked.
+ * Evaluates a run from the records of callers and endpoints only, independently
+ * of what the entry instances report.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import type { Deployment, DeploymentAccount } from "./deployments.ts";
 import type { EventRecord, SentRecord } from "./records.ts";
 
-/** All that is judged. */
+/** The records of a run. */
 export interface Evidence {
   readonly deployment: Deployment;
   readonly sent: readonly SentRecord[];
@@ -17,7 +17,7 @@
   readonly event: EventRecord;
 }
 
-/** The judgement; counts unless named otherwise. */
+/** The evaluation of a run; fields are counts unless named otherwise. */
 export interface Verdict {
   readonly sent: number;
   readonly answered: number;
@@ -33,7 +33,7 @@
   readonly keys_seen_by_endpoints: number;
   readonly after_withdrawal: number;
   readonly after_drain: number;
-  /** Time from the drain to the end of the last request there. */
+  /** Time from the drain to the end of the last request at a drained endpoint. */
   readonly drain_ms: number | null;
   readonly p50_ms: number;
   readonly p99_ms: number;
@@ -41,35 +41,35 @@
 }
 
 const MS_PER_S = 1_000;
-const WITHDRAWAL_MS = 5_000;
-const DRAIN_MS = 2_000;
-const MAX_REASON = 160;
+const WITHDRAWAL_GRACE_MS = 5_000;
+const DRAIN_GRACE_MS = 2_000;
+const MAX_REASON_LENGTH = 160;
 const MAX_REASONS = 20;
 
-/** Judges a run. */
+/** Evaluates a run. */
 export function judge(evidence: Evidence): Verdict {
   const { sent, runs, event } = evidence;
   const within = withinRate(evidence);
   return {
     ...countResults(sent),
     wrongful_refusals: wrongfulRefusals(evidence, within).length,
-    doubled: doubled(evidence),
+    doubled: countDoubled(evidence),
     misdelivered: sent.filter((s) => s.misdelivered).length +
       runs.filter((r) => !r.request.startsWith(`${r.account}/`)).length,
-    false_not_run: falseNotRun(evidence),
-    over_rate: overRate(evidence),
+    false_not_run: countFalseNotRun(evidence),
+    over_rate: countOverRate(evidence),
     over_slots: runs.filter((r) => r.overSlots).length,
     keys_seen_by_endpoints: runs.filter((r) => r.keySeen).length,
-    after_withdrawal: afterWithdrawal(runs, event),
+    after_withdrawal: countAfterWithdrawal(runs, event),
     after_drain: afterDrain(runs, event).length,
     drain_ms: drainMs(runs, event),
     ...latencies(sent),
-    worst_account_ok_ratio: worstRatio(evidence, within),
+    worst_account_ok_ratio: worstAccountOkRatio(evidence, within),
   };
 }
 
-/** Whether a run broke what must always hold. */
-export function broken(v: Verdict): boolean {
+/** Whether a run violated an invariant. */
+export function violatesInvariants(v: Verdict): boolean {
   return v.doubled + v.misdelivered + v.over_rate + v.over_slots +
       v.keys_seen_by_endpoints + v.false_not_run > 0;
 }
@@ -88,20 +88,22 @@
 
 /**
  * Requests within their account's rate and burst: all that were not refused,
- * and each refused one that could have run beside all that did. Which of two
- * equal requests of an account over its rate is let in does not matter.
+ * and each refused one that the bucket could have admitted in addition to those.
+ * Of an account over its rate, it does not matter which requests are admitted.
  */
 function withinRate({ deployment, sent, event }: Evidence): Set<SentRecord> {
   const within = new Set<SentRecord>();
   for (const [account, size] of Object.entries(deployment.accounts)) {
-    const own = sent.filter((s) => s.account === account && hadKey(s, event))
+    const own = sent.filter((s) =>
+      s.account === account && hadValidKey(s, event)
+    )
       .sort((a, b) => a.sentAt - b.sentAt);
     addWithin(own, size, within);
   }
   return within;
 }
 
-function hadKey(s: SentRecord, event: EventRecord): boolean {
+function hadValidKey(s: SentRecord, event: EventRecord): boolean {
   return s.account !== event.withdrawnAccount ||
     s.endedAt < (event.withdrawnAt ?? 0);
 }
@@ -114,17 +116,18 @@
   let tokens = size.burst;
   let at = own[0]?.sentAt ?? 0;
   for (const [i, s] of own.entries()) {
-    tokens = fill(tokens, s.sentAt - at, size);
+    tokens = refill(tokens, s.sentAt - at, size);
     at = s.sentAt;
-    const runs = s.result !== "not_run" || fits(own, { from: i, tokens, size });
+    const runs = s.result !== "not_run" ||
+      couldHaveRun(own, { from: i, tokens, size });
     if (!runs) continue;
     tokens -= 1;
     within.add(s);
   }
 }
 
-/** Whether a token spent here is missing to nothing that did run later. */
-function fits(
+/** Whether spending a token here leaves enough for all later runs. */
+function couldHaveRun(
   own: readonly SentRecord[],
   { from, tokens, size }: {
     from: number;
@@ -132,20 +135,20 @@
     size: DeploymentAccount;
   },
 ): boolean {
-  let left = tokens - 1;
+  let remaining = tokens - 1;
   let at = own[from]?.sentAt ?? 0;
   for (const later of own.slice(from + 1)) {
-    if (left < 0) return false;
-    left = fill(left, later.sentAt - at, size);
+    if (remaining < 0) return false;
+    remaining = refill(remaining, later.sentAt - at, size);
     at = later.sentAt;
     // A full bucket is the same whether or not the token was spent.
-    if (left >= size.burst) return true;
-    if (later.result !== "not_run") left -= 1;
+    if (remaining >= size.burst) return true;
+    if (later.result !== "not_run") remaining -= 1;
   }
-  return left >= 0;
+  return remaining >= 0;
 }
 
-function fill(
+function refill(
   tokens: number,
   elapsedMs: number,
   { ratePerS, burst }: DeploymentAccount,
@@ -164,7 +167,7 @@
   );
 }
 
-/** Refusals of requests within rate, while some endpoint had a slot free. */
+/** Refusals of requests within rate while some endpoint had a free slot. */
 function wrongfulRefusals(
   { deployment, runs }: Evidence,
   within: ReadonlySet<SentRecord>,
@@ -181,19 +184,21 @@
   });
 }
 
-/** What kept requests from being answered, the most frequent first. */
-export function explain(evidence: Evidence): Record<string, number> {
+/** Counts the reasons why requests were not answered, most frequent first. */
+export function countFailureReasons(
+  evidence: Evidence,
+): Record<string, number> {
   const wrongful = new Set(wrongfulRefusals(evidence, withinRate(evidence)));
   const failed = evidence.sent.filter((s) => s.result !== "answered");
   const counts = countBy(failed, (s) => {
     const result = wrongful.has(s) ? "not_run, wrongly" : s.result;
-    return `${result} | ${s.service} | ${s.why}`.slice(0, MAX_REASON);
+    return `${result} | ${s.service} | ${s.why}`.slice(0, MAX_REASON_LENGTH);
   });
   const entries = [...counts].sort(([, a], [, b]) => b - a);
   return Object.fromEntries(entries.slice(0, MAX_REASONS));
 }
 
-function doubled({ sent, runs }: Evidence): number {
+function countDoubled({ sent, runs }: Evidence): number {
   const once = new Set(sent.filter((s) => !s.idempotent).map((s) => s.request));
   const counts = countBy(
     runs.filter((r) => once.has(r.request)),
@@ -202,28 +207,29 @@
   return [...counts.values()].filter((n) => n > 1).length;
 }
 
-function falseNotRun({ sent, runs }: Evidence): number {
+function countFalseNotRun({ sent, runs }: Evidence): number {
   const ran = new Set(runs.map((r) => r.request));
   return sent.filter((s) => s.result === "not_run" && ran.has(s.request))
     .length;
 }
 
-/** Runs beyond rate times time plus burst, as the endpoints saw them start. */
-function overRate({ deployment, runs }: Evidence): number {
+/** Runs beyond rate times time plus burst, by start time at the endpoints. */
+function countOverRate({ deployment, runs }: Evidence): number {
   const buckets = bucketsOf(deployment, runs[0]?.startedAt ?? 0);
   const inOrder = [...runs].sort((a, b) => a.startedAt - b.startedAt);
   return inOrder.filter((r) => !buckets.get(r.account)?.take(r.startedAt))
     .length;
 }
 
-function afterWithdrawal(
+function countAfterWithdrawal(
   runs: readonly RunRecord[],
   event: EventRecord,
 ): number {
   const { withdrawnAccount, withdrawnAt } = event;
   if (withdrawnAt === undefined) return 0;
   return runs.filter((r) =>
-    r.account === withdrawnAccount && r.startedAt > withdrawnAt + WITHDRAWAL_MS
+    r.account === withdrawnAccount &&
+    r.startedAt > withdrawnAt + WITHDRAWAL_GRACE_MS
   ).length;
 }
 
@@ -234,7 +240,8 @@
   const { drainedEndpoints, drainedAt } = event;
   if (drainedAt === undefined) return [];
   return runs.filter((r) =>
-    drainedEndpoints?.includes(r.endpoint) && r.startedAt > drainedAt + DRAIN_MS
+    drainedEndpoints?.includes(r.endpoint) &&
+    r.startedAt > drainedAt + DRAIN_GRACE_MS
   );
 }
 
@@ -252,21 +259,21 @@
 function latencies(sent: readonly SentRecord[]) {
   const ms = sent.filter((s) => s.result === "answered")
     .map((s) => s.endedAt - s.sentAt).sort((a, b) => a - b);
-  const at = (part: number) =>
-    Math.round(ms[Math.floor(ms.length * part)] ?? 0);
+  const at = (fraction: number) =>
+    Math.round(ms[Math.floor(ms.length * fraction)] ?? 0);
   return { p50_ms: at(0.5), p99_ms: at(0.99) };
 }
 
-function worstRatio(
+function worstAccountOkRatio(
   { deployment }: Evidence,
   within: ReadonlySet<SentRecord>,
 ): number {
   const ratios = Object.keys(deployment.accounts).map((account) => {
     const own = [...within].filter((s) => s.account === account);
-    const good = own.filter((s) =>
+    const inTime = own.filter((s) =>
       s.result === "answered" && s.endedAt - s.sentAt <= s.timeoutMs
     );
-    return own.length === 0 ? 1 : good.length / own.length;
+    return own.length === 0 ? 1 : inTime.length / own.length;
   });
   return Math.round(Math.min(...ratios) * 10_000) / 10_000;
 }
--- a/tools/demo/judge_test.ts
+++ b/tools/demo/judge_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import type { RunRecord } from "../standins/endpoint_server.ts";
 import type { Deployment } from "./deployments.ts";
-import { broken, type Evidence, judge } from "./judge.ts";
+import { type Evidence, judge, violatesInvariants } from "./judge.ts";
 import type { EventRecord, SentRecord } from "./records.ts";
 
 const DEPLOYMENT: Deployment = {
@@ -56,7 +56,7 @@
 
 const CASES: Case[] = [
   {
-    name: "a clean run",
+    name: "a run without violations",
     sent: [sent("1")],
     runs: [ran("1")],
     expect: { answered: 1, p50_ms: 10, worst_account_ok_ratio: 1 },
@@ -77,14 +77,14 @@
     broken: false,
   },
   {
-    name: "a refusal that says not run, of a request that ran",
+    name: "a request reported as not run that did run",
     sent: [sent("1", { result: "not_run" })],
     runs: [ran("1")],
     expect: { false_not_run: 1 },
     broken: true,
   },
   {
-    name: "an endpoint worked for another account than the caller's",
+    name: "an endpoint ran a request for an account other than the caller's",
     sent: [sent("1")],
     runs: [ran("1", { account: "b" })],
     expect: { misdelivered: 1 },
@@ -105,7 +105,7 @@
     broken: false,
   },
   {
-    name: "a refusal while every slot was taken",
+    name: "a refusal while every slot was in use",
     sent: [sent("1", { result: "not_run" })],
     runs: [ran("2", { endedAt: 50 })],
     expect: { wrongful_refusals: 0 },
@@ -119,21 +119,21 @@
     broken: false,
   },
   {
-    name: "a refusal before others that used up the burst",
+    name: "a refusal before requests that used up the burst",
     sent: [sent("1", { result: "not_run" }), sent("2"), sent("3")],
     runs: [ran("2"), ran("3")],
     expect: { wrongful_refusals: 0, worst_account_ok_ratio: 1 },
     broken: false,
   },
   {
-    name: "a refusal before another that left a token unused",
+    name: "a refusal before a request that left a token unused",
     sent: [sent("1", { result: "not_run" }), sent("2")],
     runs: [ran("2")],
     expect: { wrongful_refusals: 1, worst_account_ok_ratio: 0.5 },
     broken: false,
   },
   {
-    name: "a refusal whose token would have been there again later",
+    name: "a refusal whose token would have been refilled in time",
     sent: [
       sent("1", { result: "not_run" }),
       sent("2", { sentAt: 1_000, endedAt: 1_010 }),
@@ -144,7 +144,7 @@
     broken: false,
   },
   {
-    name: "a run five seconds and more after its key was withdrawn",
+    name: "a run more than five seconds after its key was withdrawn",
     sent: [],
     runs: [ran("1", { startedAt: 5_002 })],
     event: { withdrawnAccount: "a", withdrawnAt: 1 },
@@ -152,7 +152,7 @@
     broken: false,
   },
   {
-    name: "a run at an endpoint two seconds and more after its drain",
+    name: "a run at an endpoint more than two seconds after its drain",
     sent: [],
     runs: [ran("1", { startedAt: 2_101, endedAt: 2_200 })],
     event: { drainedEndpoints: ["s-1"], drainedAt: 100 },
@@ -162,7 +162,7 @@
 ];
 
 for (const c of CASES) {
-  test(`judges ${c.name}`, (t) => {
+  test(`evaluates ${c.name}`, (t) => {
     const evidence: Evidence = {
       deployment: DEPLOYMENT,
       sent: c.sent,
@@ -173,6 +173,6 @@
     for (const [field, value] of Object.entries(c.expect)) {
       t.is(verdict[field as keyof typeof verdict], value, field);
     }
-    t.is(broken(verdict), c.broken);
+    t.is(violatesInvariants(verdict), c.broken);
   });
 }
--- a/tools/demo/main.ts
+++ b/tools/demo/main.ts
@@ -1,6 +1,6 @@
 /**
- * The demo: one deployment as separate processes on loopback, with its
- * workload, and a report counted by callers and endpoints.
+ * The demo: runs one deployment as separate processes on loopback under its
+ * workload, and reports what callers and endpoints recorded.
  *
  * @module
  */
@@ -10,9 +10,14 @@
 import { z } from "zod";
 import { describe, fromZod } from "../../src/core/mod.ts";
 import { DEPLOYMENTS } from "./deployments.ts";
-import { eventAtMs, EVENTS, happen, loadFor } from "./events.ts";
+import { eventAtMs, EVENTS, loadFor, triggerEvent } from "./events.ts";
 import { Fleet } from "./fleet.ts";
-import { broken, type Evidence, explain, judge } from "./judge.ts";
+import {
+  countFailureReasons,
+  type Evidence,
+  judge,
+  violatesInvariants,
+} from "./judge.ts";
 import { sendWorkload } from "./workload.ts";
 
 const Options = z.object({
@@ -23,16 +28,16 @@
 });
 type Options = z.infer<typeof Options>;
 
-const BAD_INPUT = 2;
+const BAD_INPUT_EXIT_CODE = 2;
 const NS_PER_MS = 1e6;
-/** Shares and seats settle after a start as they do after a deployment. */
+/** Shares and seats settle after a start, as they do after a real deployment. */
 const WARM_UP_MS = 2_500;
 
 process.exitCode = await main();
 
 async function main(): Promise<number> {
   const opts = readOptions();
-  if (opts === undefined) return BAD_INPUT;
+  if (opts === undefined) return BAD_INPUT_EXIT_CODE;
   const fleet = await Fleet.start(DEPLOYMENTS[opts.deployment]);
   try {
     await new Promise((resolve) => setTimeout(resolve, WARM_UP_MS));
@@ -73,14 +78,14 @@
     load: loadFor(opts.event, opts.seconds),
   });
   await new Promise((resolve) => setTimeout(resolve, eventAtMs(opts.seconds)));
-  const event = await happen(opts.event, fleet);
+  const event = await triggerEvent(opts.event, fleet);
   const sent = await workload;
   return { deployment, sent, runs: await fleet.runs(), event };
 }
 
 /**
- * Prints the report. `runner_lag_ms` is how late the runner's own timers were:
- * where it nears the callers' timeouts the machine, not the fleet, was slow.
+ * Prints the report. `runner_lag_ms` is the p99 delay of the runner's own timers:
+ * if it nears the callers' timeouts, the machine was slow, not the fleet.
  */
 function report(opts: Options, evidence: Evidence, lagMs: number): number {
   const { deployment, event, seconds } = opts;
@@ -88,11 +93,13 @@
   if (!opts.json) {
     console.log(`${deployment}, event ${event}, ${seconds} s`);
     console.table(verdict);
-    for (const [reason, count] of Object.entries(explain(evidence))) {
+    for (
+      const [reason, count] of Object.entries(countFailureReasons(evidence))
+    ) {
       console.log(`${count} x ${reason}`);
     }
   }
   const measured = { ...verdict, runner_lag_ms: lagMs };
   console.log(JSON.stringify({ deployment, event, seconds, ...measured }));
-  return broken(verdict) ? 1 : 0;
+  return violatesInvariants(verdict) ? 1 : 0;
 }
--- a/tools/demo/processes.ts
+++ b/tools/demo/processes.ts
@@ -1,6 +1,6 @@
 /**
- * The demo's child processes, each of which prints one line of JSON when it is
- * ready.
+ * Starts and ends the demo's child processes, each of which prints one line of
+ * JSON when it is ready.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import process from "node:process";
 import { createInterface } from "node:readline";
 
-/** A started process and what it said when ready. */
+/** A started process and the JSON it printed when ready. */
 export interface Started<T> {
   readonly child: ChildProcess;
   readonly ready: T;
@@ -27,7 +27,7 @@
   });
 }
 
-/** Ends a process and waits until it is gone. */
+/** Signals a process and waits until it has exited. */
 export function end(
   child: ChildProcess,
   signal: NodeJS.Signals,
@@ -41,10 +41,10 @@
   });
 }
 
-/** A process ended before it was ready. */
+/** A process exited before it was ready. */
 export class StartError extends Error {
   constructor(args: readonly string[], code: number | null) {
-    super(`node ${args.join(" ")} ended with ${code} before it was ready`);
+    super(`node ${args.join(" ")} exited with ${code} before it was ready`);
     this.name = "StartError";
   }
 }
--- a/tools/demo/records.ts
+++ b/tools/demo/records.ts
@@ -1,10 +1,10 @@
 /**
- * What callers and the runner write down, to be judged at the end.
+ * Records that callers and the runner keep for the evaluation of a run.
  *
  * @module
  */
 
-/** One request as its caller saw it; times in milliseconds since the epoch. */
+/** One request as seen by its caller; times in milliseconds since the epoch. */
 export interface SentRecord {
   readonly account: string;
   readonly service: string;
@@ -14,16 +14,16 @@
   readonly endedAt: number;
   readonly timeoutMs: number;
   readonly result: SentResult;
-  /** The answer was another request's or another account's. */
+  /** The response belonged to another request or account. */
   readonly misdelivered: boolean;
-  /** The failure's code and message, for people. */
+  /** The failure's code and message. */
   readonly why: string;
 }
 
-/** `lost`: neither an answer nor a refusal came. */
+/** `lost`: the caller received neither a response nor a refusal. */
 export type SentResult = "answered" | "not_run" | "unknown" | "lost";
 
-/** What the operator did during the run; times as above. */
+/** The operator's actions during the run; times as in `SentRecord`. */
 export interface EventRecord {
   withdrawnAccount?: string;
   withdrawnAt?: number;
--- a/tools/demo/store_main.ts
+++ b/tools/demo/store_main.ts
@@ -1,4 +1,4 @@
-/** The store stand-in as a process; it prints its address. */
+/** Runs the fake store as a process and prints its URL. */
 import { StoreServer } from "../standins/store_server.ts";
 
 const store = await StoreServer.open();
--- a/tools/demo/workload.ts
+++ b/tools/demo/workload.ts
@@ -1,6 +1,6 @@
 /**
- * The callers of a deployment: each account's requests arrive at random at a
- * part of its rate, whatever becomes of earlier ones.
+ * The callers of a deployment: each account's requests are an open-loop Poisson
+ * process at a fraction of its rate, independent of earlier responses.
  *
  * @module
  */
@@ -13,23 +13,23 @@
 } from "./deployments.ts";
 import type { SentRecord, SentResult } from "./records.ts";
 
-/** What a workload needs. */
+/** Options of a workload. */
 export interface WorkloadOptions {
   readonly deployment: Deployment;
   /** One entry instance's address in each region. */
   readonly seeds: readonly string[];
   readonly seconds: number;
-  /** Part of its rate that an account sends at, `elapsedMs` into the run. */
+  /** An account's load as a fraction of its rate, `elapsedMs` into the run. */
   readonly load: (account: string, elapsedMs: number) => number;
 }
 
-/** Part of an account's callers that sit in each region, its own first. */
-const CALLER_PARTS = [0.6, 0.3, 0.1];
+/** Fraction of an account's requests from each region, its own region first. */
+const REGION_WEIGHTS = [0.6, 0.3, 0.1];
 const TIMEOUT_MS = 1_000;
 const BODY_BYTES = 200;
 const SEED = 1;
 
-/** Sends the workload and gives a record of every request. */
+/** Sends the workload and returns a record of every request. */
 export async function sendWorkload(
   opts: WorkloadOptions,
 ): Promise<SentRecord[]> {
@@ -61,9 +61,12 @@
     this.#random = random;
     const { seeds } = opts;
     this.#clients = seeds.map((_, i) => {
-      const first = (index + i) % seeds.length;
-      const own = [...seeds.slice(first), ...seeds.slice(0, first)];
-      return new Client({ seeds: own, key: keyOf(account) });
+      const firstSeed = (index + i) % seeds.length;
+      const orderedSeeds = [
+        ...seeds.slice(firstSeed),
+        ...seeds.slice(0, firstSeed),
+      ];
+      return new Client({ seeds: orderedSeeds, key: keyOf(account) });
     });
   }
 
@@ -121,14 +124,18 @@
         why,
       };
     }
-    const misdelivered = !isOwn(answer.value.body, this.#account, request);
+    const misdelivered = !isOwnResponse(
+      answer.value.body,
+      this.#account,
+      request,
+    );
     return { ...common, result: "answered", misdelivered, why: "" };
   }
 
   #pickClient(): Client {
     const pick = this.#random.next();
     let sum = 0;
-    const i = CALLER_PARTS.findIndex((part) => (sum += part) > pick);
+    const i = REGION_WEIGHTS.findIndex((part) => (sum += part) > pick);
     return this.#clients[Math.max(0, i) % this.#clients.length] as Client;
   }
 
@@ -141,13 +148,17 @@
   }
 }
 
-/** No instance answered at all: nobody said what became of the request. */
+/** `lost` if no instance answered, so that the outcome was never reported. */
 function resultOf(failure: Failure): SentResult {
   if (failure.code === "no_answer") return "lost";
   return failure.outcome === "not-run" ? "not_run" : "unknown";
 }
 
-function isOwn(body: Uint8Array, account: string, request: string): boolean {
+function isOwnResponse(
+  body: Uint8Array,
+  account: string,
+  request: string,
+): boolean {
   try {
     const got = JSON.parse(new TextDecoder().decode(body));
     return got.account === account && got.request === request;
