--- a/tools/operations/random_run_main.ts
+++ b/tools/operations/random_run_main.ts
@@ -1,5 +1,5 @@
 /**
- * Randomised runs of operations over many seeds; prints one line of JSON.
+ * Runs randomised operation tests over many seeds; prints one line of JSON.
  *
  * `node --import=tsx tools/operations/random_run_main.ts --seeds 100 --steps 400`
  *
--- a/tools/operations/second_place_latency.ts
+++ b/tools/operations/second_place_latency.ts
@@ -1,8 +1,8 @@
 /**
- * Measures what at-most-once costs: the same operations by `LocalOperations`
- * and by `HomeOperations` with its second place at a peer, at a peer after a
- * forward, and in the store. Real sockets on loopback; the variants take turns
- * request by request, so that the machine's load falls on all alike.
+ * Measures the latency that at-most-once execution adds: the same operations by
+ * `LocalOperations` and by `HomeOperations` with the backup replica at a peer, at a
+ * peer after a forward, and in the store. Uses real sockets on loopback; the
+ * variants alternate per request, so that machine load affects all alike.
  *
  * `node --import=tsx tools/operations/second_place_latency.ts --requests 2000`
  *
@@ -51,11 +51,11 @@
   },
 });
 const REQUESTS = Number(values.requests);
-const PARALLEL = [1, 8, 32];
-const BATCH_EVERY_MS = 100;
+const CONCURRENCIES = [1, 8, 32];
+const BATCH_INTERVAL_MS = 100;
 const WARM_UP = 200;
 /** The store's object holds 3,000 records, and each write carries them all. */
-const STORE_EVERY = 8;
+const STORE_ROUND_INTERVAL = 8;
 const US_PER_MS = 1_000;
 
 const clock = new SystemClock();
@@ -139,8 +139,8 @@
   return { operations, server, sender, transport };
 }
 
-/** Batches as the instances send them each tick, handed over in memory. */
-function exchange(nodes: readonly Node[]): void {
+/** Delivers the batches that instances send each tick, in memory. */
+function exchangeBatches(nodes: readonly Node[]): void {
   for (const from of nodes) {
     from.operations.sweep(clock.now());
     for (const to of nodes) {
@@ -156,13 +156,16 @@
   readonly name: string;
   readonly operations: Operations;
   readonly home: () => string | undefined;
-  /** Takes part in one round of so many. */
+  /** Runs in one round out of this many; all by default. */
   readonly every?: number;
 }
 
 let count = 0;
 
-async function once(variant: Variant, histogram: Histogram): Promise<void> {
+async function measureOperation(
+  variant: Variant,
+  histogram: Histogram,
+): Promise<void> {
   const home = variant.home();
   const startedAt = clock.now();
   const result = await variant.operations.run({
@@ -190,7 +193,7 @@
     for (let i = 0; i < rounds; i++) {
       for (const [n, variant] of variants.entries()) {
         if (i % (variant.every ?? 1) !== 0) continue;
-        await once(variant, into[n]!);
+        await measureOperation(variant, into[n]!);
       }
     }
   };
@@ -212,10 +215,10 @@
 }
 
 const nodes = [await startNode("i1", "z1"), await startNode("i2", "z2")];
-const lone = await startNode("i3", "z3");
+const isolated = await startNode("i3", "z3");
 const [first, second] = nodes as [Node, Node];
-const timer = setInterval(() => exchange(nodes), BATCH_EVERY_MS);
-exchange(nodes);
+const timer = setInterval(() => exchangeBatches(nodes), BATCH_INTERVAL_MS);
+exchangeBatches(nodes);
 const home = () => first.operations.homeTokenOf("i1");
 const variants: Variant[] = [
   {
@@ -227,19 +230,19 @@
   { name: "forwarded", operations: second.operations, home },
   {
     name: "store",
-    operations: lone.operations,
-    home: () => lone.operations.homeTokenOf("i3"),
-    every: STORE_EVERY,
+    operations: isolated.operations,
+    home: () => isolated.operations.homeTokenOf("i3"),
+    every: STORE_ROUND_INTERVAL,
   },
 ];
 const report = [];
-for (const parallel of PARALLEL) {
+for (const parallel of CONCURRENCIES) {
   report.push(...await measure(variants, parallel));
 }
 console.table(report);
 console.log(JSON.stringify({ work_ms: Number(values["work-ms"]), report }));
 clearInterval(timer);
-for (const node of [...nodes, lone]) {
+for (const node of [...nodes, isolated]) {
   node.server.closeAllConnections();
   node.server.close();
   await node.transport.close();
