--- a/tools/bench/decisions/simulation.ts
+++ b/tools/bench/decisions/simulation.ts
@@ -112,13 +112,13 @@
     seed: number;
   },
 ): Promise<RunReport> {
-  const run = new Simulation(shape, pattern, { kind, seed });
+  const simulation = new Simulation(shape, pattern, { kind, seed });
   const steps = (WARM_UP_S + seconds) * 1_000 / STEP_MS;
-  for (let i = 0; i < steps; i++) await run.step(true);
+  for (let i = 0; i < steps; i++) await simulation.step(true);
   // The last requests still have until their deadlines.
-  const remainingSteps = run.longestMs / STEP_MS;
-  for (let i = 0; i < remainingSteps; i++) await run.step(false);
-  return run.report(seconds);
+  const remainingSteps = simulation.longestMs / STEP_MS;
+  for (let i = 0; i < remainingSteps; i++) await simulation.step(false);
+  return simulation.report(seconds);
 }
 
 class Simulation {
@@ -282,34 +282,34 @@
     return this.#pattern.longFactor ?? 1;
   }
 
-  #attempt(caller: SimulatedRequest): void {
-    caller.tries += 1;
+  #attempt(req: SimulatedRequest): void {
+    req.tries += 1;
     const dispatcher = this
       .#dispatchers[this.#random.below(this.#dispatchers.length)]!;
     const abort = new AbortController();
     void dispatcher.acquire({
       service: SERVICE,
-      account: `a${caller.account}` as AccountId,
+      account: `a${req.account}` as AccountId,
       idempotent: true,
-      deadline: caller.deadline,
-      work: caller.long ? "long" : "short",
+      deadline: req.deadline,
+      work: req.long ? "long" : "short",
     }, abort.signal).then((slot) => {
-      if (slot.isOk()) this.#start(caller, slot.value);
-      else this.#retry(caller, slot.error.retryAfterMs ?? 100);
+      if (slot.isOk()) this.#start(req, slot.value);
+      else this.#retry(req, slot.error.retryAfterMs ?? 100);
     });
   }
 
   /** Retries later if the deadline allows, as the client library does. */
-  #retry(caller: SimulatedRequest, afterMs: number): void {
+  #retry(req: SimulatedRequest, afterMs: number): void {
     const now = this.#clock.now();
     const at = now +
       Math.max(1, Math.round(afterMs * (0.5 + this.#random.next())));
-    if (caller.tries < MAX_ATTEMPTS && at < caller.deadline) {
-      this.#schedule(at, () => this.#attempt(caller));
+    if (req.tries < MAX_ATTEMPTS && at < req.deadline) {
+      this.#schedule(at, () => this.#attempt(req));
     }
   }
 
-  #start(caller: SimulatedRequest, slot: Slot): void {
+  #start(req: SimulatedRequest, slot: Slot): void {
     const now = this.#clock.now();
     const endpoint = this.#endpoints.get(slot.endpoint)!;
     endpoint.running += 1;
@@ -322,25 +322,25 @@
       this.#afterDrain += 1;
     }
     const slow = this.#pattern.slowness?.(endpoint.index) ?? 1;
-    const factor = (caller.long ? this.#longFactor : 1) * slow *
+    const factor = (req.long ? this.#longFactor : 1) * slow *
       (0.8 + 0.4 * this.#random.next());
     const ends = now + Math.max(1, Math.round(this.#shape.workMs * factor));
-    const last = Math.round(caller.deadline);
+    const last = Math.round(req.deadline);
     this.#schedule(Math.min(ends, last), () => {
       endpoint.running -= 1;
-      this.#end(caller, slot, ends <= last);
+      this.#end(req, slot, ends <= last);
     });
   }
 
-  #end(caller: SimulatedRequest, slot: Slot, inTime: boolean): void {
+  #end(req: SimulatedRequest, slot: Slot, inTime: boolean): void {
     const now = this.#clock.now();
     slot.release(inTime ? "ok" : "timeout", now);
     this.#recordDrainEnd(slot.endpoint, now);
-    if (!inTime || !caller.counts) return;
+    if (!inTime || !req.counts) return;
     this.#served += 1;
-    this.#latencies.add(now - caller.sentAt);
-    if (!caller.long) this.#shortLatencies.add(now - caller.sentAt);
-    this.#tallies[caller.account]!.served += 1;
+    this.#latencies.add(now - req.sentAt);
+    if (!req.long) this.#shortLatencies.add(now - req.sentAt);
+    this.#tallies[req.account]!.served += 1;
   }
 
   get #drainStart(): number {
--- a/tools/demo/judge_test.ts
+++ b/tools/demo/judge_test.ts
@@ -162,7 +162,7 @@
 ];
 
 for (const c of CASES) {
-  test(`evaluates ${c.name}`, (t) => {
+  test(`evaluation: ${c.name}`, (t) => {
     const evidence: Evidence = {
       deployment: DEPLOYMENT,
       sent: c.sent,
