--- a/src/store/http_platform.ts
+++ b/src/store/http_platform.ts
@@ -1,7 +1,7 @@
 /**
- * The platform over ordinary conditional HTTP requests.
+ * Platform client over conditional HTTP requests.
  *
- * Values stand under `/objects/KEY` with an ETag; `If-Match` and
+ * Values are stored under `/objects/KEY` with an ETag; `If-Match` and
  * `If-None-Match: *` make writes conditional; `?wait_ms=` with `If-None-Match`
  * is a long poll that ends with 304 when nothing changed. `/instances` is the
  * list of entry instances.
@@ -29,19 +29,19 @@
   type Versioned,
 } from "./platform.ts";
 
-/** What the adapter needs. */
+/** Options of the HTTP platform client. */
 export interface HttpPlatformOptions {
   readonly baseUrl: string;
   readonly metrics: Metrics;
-  /** Sent as a bearer token, where the platform asks for one. */
+  /** Bearer token, if the platform requires one. */
   readonly token?: string | undefined;
-  /** How long one call may take, in milliseconds, waiting watches apart. */
+  /** Timeout of a call, in milliseconds; a watch's wait time is added to it. */
   readonly timeoutMs?: number;
 }
 
 const DEFAULT_TIMEOUT_MS = 2_000;
-/** An answer without end would fill the memory before the time limit ends it. */
-const MAX_ANSWER_BYTES = 100_000_000;
+/** An endless response would exhaust memory before the timeout. */
+const MAX_RESPONSE_BYTES = 100_000_000;
 
 const ObjectList = z.array(
   z.object({ key: z.string(), value: z.string(), version: z.string() }),
@@ -65,13 +65,13 @@
   readonly extraMs?: number;
 }
 
-interface Answer {
+interface PlatformResponse {
   readonly status: number;
   readonly etag: string | undefined;
   readonly text: string;
 }
 
-/** The platform's HTTP service. */
+/** Client of the platform's HTTP service. */
 export class HttpPlatform implements Platform {
   readonly #opts: HttpPlatformOptions;
   readonly #agent = new Agent({ connections: 8, pipelining: 1 });
@@ -84,17 +84,17 @@
   async get(
     key: string,
   ): Promise<Result<Versioned<string> | undefined, Failure>> {
-    const answer = await this.#call("get", {
+    const response = await this.#call("get", {
       method: "GET",
       path: objectPath(key),
     });
-    return answer.andThen((a) => valueOf(key, a));
+    return response.andThen((a) => parseValue(key, a));
   }
 
   async list(prefix: string): Promise<Result<Versioned<string>[], Failure>> {
     const path = `/objects?prefix=${encodeURIComponent(prefix)}`;
-    const answer = await this.#call("list", { method: "GET", path });
-    return answer.andThen((a) => parseBody(ObjectList, a));
+    const response = await this.#call("list", { method: "GET", path });
+    return response.andThen((a) => parseBody(ObjectList, a));
   }
 
   async put(
@@ -110,8 +110,8 @@
       : { "if-match": `"${condition.ifVersion}"` };
     const path = objectPath(key);
     const call: Call = { method: "PUT", path, headers, body: value };
-    const answer = await this.#call("put", call);
-    return answer.andThen((a) => versionOf(key, a));
+    const response = await this.#call("put", call);
+    return response.andThen((a) => parseVersion(key, a));
   }
 
   async watch(
@@ -122,26 +122,30 @@
     const headers = { "if-none-match": `"${seen ?? ""}"` };
     const path = `${objectPath(key)}?wait_ms=${waitMs}`;
     const call: Call = { method: "GET", path, headers, extraMs: waitMs };
-    const answer = await this.#call("watch", call);
-    if (answer.isOk() && answer.value.status === 304) {
+    const response = await this.#call("watch", call);
+    if (response.isOk() && response.value.status === 304) {
       return await this.get(key);
     }
-    return answer.andThen((a) => valueOf(key, a));
+    return response.andThen((a) => parseValue(key, a));
   }
 
   async instances(): Promise<Result<ListedInstance[], Failure>> {
-    const answer = await this.#call("instances", {
+    const response = await this.#call("instances", {
       method: "GET",
       path: "/instances",
     });
-    return answer.andThen((a) => parseBody(z.array(InstanceEntry), a));
+    return response.andThen((a) => parseBody(z.array(InstanceEntry), a));
   }
 
   async announce(entry: ListedInstance): Promise<Result<void, Failure>> {
     const path = `/instances/${encodeURIComponent(entry.instance)}`;
     const body = JSON.stringify(entry);
-    const answer = await this.#call("announce", { method: "PUT", path, body });
-    return answer.map(() => undefined);
+    const response = await this.#call("announce", {
+      method: "PUT",
+      path,
+      body,
+    });
+    return response.map(() => undefined);
   }
 
   async close(): Promise<void> {
@@ -154,7 +158,10 @@
     return token === undefined ? {} : { authorization: `Bearer ${token}` };
   }
 
-  async #call(name: string, call: Call): Promise<Result<Answer, Failure>> {
+  async #call(
+    name: string,
+    call: Call,
+  ): Promise<Result<PlatformResponse, Failure>> {
     this.#opts.metrics.count("platform.calls", { call: name });
     const timeoutMs = (this.#opts.timeoutMs ?? DEFAULT_TIMEOUT_MS) +
       (call.extraMs ?? 0);
@@ -167,19 +174,19 @@
         dispatcher: this.#agent,
         signal: deadline.signal,
       });
-      const text = await readText(res.body, MAX_ANSWER_BYTES);
+      const text = await readText(res.body, MAX_RESPONSE_BYTES);
       const etag = res.headers.etag?.toString().replaceAll('"', "");
-      return answerOf(call, { status: res.statusCode, etag, text });
+      return checkStatus(call, { status: res.statusCode, etag, text });
     } catch (cause) {
       this.#opts.metrics.count("platform.errors", { call: name });
-      return unreachable(call, String(cause));
+      return callFailed(call, String(cause));
     } finally {
       deadline.close();
     }
   }
 }
 
-/** Reads a body; throws past `limit` bytes, which is told as unreachable. */
+/** Reads a body; throws over `limit` bytes, which fails the call. */
 async function readText(
   body: AsyncIterable<Uint8Array>,
   limit: number,
@@ -188,7 +195,7 @@
   let size = 0;
   for await (const chunk of body) {
     size += chunk.length;
-    if (size > limit) throw new RangeError(`an answer of over ${limit} bytes`);
+    if (size > limit) throw new RangeError(`response is over ${limit} bytes`);
     chunks.push(chunk);
   }
   return Buffer.concat(chunks).toString("utf8");
@@ -198,61 +205,67 @@
   return `/objects/${key.split("/").map(encodeURIComponent).join("/")}`;
 }
 
-function answerOf(call: Call, answer: Answer): Result<Answer, Failure> {
-  switch (answer.status) {
+function checkStatus(
+  call: Call,
+  response: PlatformResponse,
+): Result<PlatformResponse, Failure> {
+  switch (response.status) {
     case 200:
     case 201:
     case 204:
     case 304:
     case 404:
-      return ok(answer);
+      return ok(response);
     case 412:
       return fail("conflict", `${call.path} has changed`);
     case 413:
       return fail("value_too_large", `${call.path} is too large for the store`);
     default:
-      return unreachable(call, `status ${answer.status}`);
+      return callFailed(call, `status ${response.status}`);
   }
 }
 
-/** A write that was not answered may have taken effect all the same. */
-function unreachable(call: Call, cause: string): Result<never, Failure> {
+/** A write without a response may still have taken effect. */
+function callFailed(call: Call, cause: string): Result<never, Failure> {
   const message = `platform call ${call.method} ${call.path} failed: ${cause}`;
   if (call.method === "PUT") return fail("platform_outcome_unknown", message);
   return fail("platform_unavailable", message);
 }
 
-function valueOf(
+function parseValue(
   key: string,
-  answer: Answer,
+  response: PlatformResponse,
 ): Result<Versioned<string> | undefined, Failure> {
-  if (answer.status === 404) return ok(undefined);
-  if (answer.etag === undefined) {
-    return fail("platform_unavailable", `${key} came without a version`);
+  if (response.status === 404) return ok(undefined);
+  if (response.etag === undefined) {
+    return fail("platform_unavailable", `response for ${key} has no version`);
   }
-  return ok({ key, value: answer.text, version: answer.etag });
+  return ok({ key, value: response.text, version: response.etag });
 }
 
-function versionOf(key: string, answer: Answer): Result<string, Failure> {
-  if (answer.etag !== undefined) return ok(answer.etag);
+function parseVersion(
+  key: string,
+  response: PlatformResponse,
+): Result<string, Failure> {
+  if (response.etag !== undefined) return ok(response.etag);
   return fail(
     "platform_outcome_unknown",
-    `${key} was written without a version`,
+    `response to the write of ${key} has no version`,
   );
 }
 
 function parseBody<T>(
   schema: z.ZodType<T>,
-  answer: Answer,
+  response: PlatformResponse,
 ): Result<T, Failure> {
   try {
-    const parsed = schema.safeParse(JSON.parse(answer.text));
+    const parsed = schema.safeParse(JSON.parse(response.text));
     if (parsed.success) return ok(parsed.data);
   } catch {
-    // Broken JSON is reported like any other wrong body.
+    // Invalid JSON is reported like any other invalid body.
   }
   return fail(
     "platform_unavailable",
-    "the platform answered with a broken body",
+    "the platform's response body is invalid",
   );
 }
--- a/src/store/memory_platform.ts
+++ b/src/store/memory_platform.ts
@@ -1,5 +1,5 @@
 /**
- * The platform in memory, for the library, tests and the store stand-in.
+ * In-memory platform, for the library, tests and the store stand-in.
  *
  * @module
  */
@@ -15,7 +15,7 @@
 } from "./platform.ts";
 
 /**
- * A platform that one process keeps in memory.
+ * A platform held in the memory of one process.
  *
  * @example
  * ```ts
@@ -27,7 +27,7 @@
   readonly #clock: Clock;
   readonly #values = new Map<string, Versioned<string>>();
   readonly #instances = new Map<string, ListedInstance>();
-  readonly #waiting = new Map<string, Set<() => void>>();
+  readonly #waiters = new Map<string, Set<() => void>>();
   #revision = 0;
 
   constructor(clock: Clock) {
@@ -39,8 +39,8 @@
   }
 
   list(prefix: string): Promise<Result<Versioned<string>[], Failure>> {
-    const found = [...this.#values.values()];
-    return Promise.resolve(ok(found.filter((v) => v.key.startsWith(prefix))));
+    const values = [...this.#values.values()];
+    return Promise.resolve(ok(values.filter((v) => v.key.startsWith(prefix))));
   }
 
   put(
@@ -56,17 +56,17 @@
     seen: string | undefined,
     waitMs: number,
   ): Promise<Result<Versioned<string> | undefined, Failure>> {
-    const now = this.#values.get(key);
-    if (now?.version !== seen) return Promise.resolve(ok(now));
+    const current = this.#values.get(key);
+    if (current?.version !== seen) return Promise.resolve(ok(current));
     return new Promise((resolve) => {
       const done = () => {
         timer.close();
-        this.#waiting.get(key)?.delete(done);
+        this.#waiters.get(key)?.delete(done);
         resolve(ok(this.#values.get(key)));
       };
       const timer = this.#clock.after(waitMs, done);
-      const waiting = this.#waiting.get(key) ?? new Set();
-      this.#waiting.set(key, waiting.add(done));
+      const waiters = this.#waiters.get(key) ?? new Set();
+      this.#waiters.set(key, waiters.add(done));
     });
   }
 
@@ -79,14 +79,14 @@
     return Promise.resolve(ok(undefined));
   }
 
-  /** Takes an instance off the list, as the platform does some time after it ended. */
+  /** Delists an instance, as the platform does some time after it ended. */
   forget(instance: string): void {
     this.#instances.delete(instance);
   }
 
   close(): Promise<void> {
-    for (const waiting of this.#waiting.values()) {
-      for (const done of [...waiting]) done();
+    for (const waiters of this.#waiters.values()) {
+      for (const done of [...waiters]) done();
     }
     return Promise.resolve();
   }
@@ -99,13 +99,13 @@
     if (Buffer.byteLength(value) > MAX_VALUE_BYTES) {
       return fail("value_too_large", `${key} is over ${MAX_VALUE_BYTES} bytes`);
     }
-    const wanted = condition.ifAbsent ? undefined : condition.ifVersion;
-    if (this.#values.get(key)?.version !== wanted) {
+    const expected = condition.ifAbsent ? undefined : condition.ifVersion;
+    if (this.#values.get(key)?.version !== expected) {
       return fail("conflict", `${key} has changed`);
     }
     const version = String(++this.#revision);
     this.#values.set(key, { key, value, version });
-    for (const done of [...(this.#waiting.get(key) ?? [])]) done();
+    for (const done of [...(this.#waiters.get(key) ?? [])]) done();
     return ok(version);
   }
 }
--- a/src/store/mod.ts
+++ b/src/store/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The platform: one interface, in memory and over HTTP.
+ * Platform interface, with in-memory and HTTP implementations.
  *
  * @module
  */
--- a/src/store/platform.ts
+++ b/src/store/platform.ts
@@ -1,25 +1,25 @@
 /**
- * What the system asks of the platform: a store of versioned values, and a
- * list of entry instances that lags.
+ * Interface of the platform: a store of versioned values, and an eventually
+ * consistent list of entry instances.
  *
  * @module
  */
 import type { Result } from "neverthrow";
 import type { Failure, InstanceId, RegionId, ZoneId } from "../core/mod.ts";
 
-/** A value with the version it was read at; no version means it is absent. */
+/** A value and the version at which it was read; undefined if absent. */
 export interface Versioned<T> {
   readonly key: string;
   readonly value: T;
   readonly version: string | undefined;
 }
 
-/** A condition under which a write takes effect; exactly one is set. */
+/** Precondition of a write; exactly one field is set. */
 export type PutCondition =
   | { readonly ifAbsent: true; readonly ifVersion?: undefined }
   | { readonly ifVersion: string; readonly ifAbsent?: undefined };
 
-/** One entry instance as the platform lists it. */
+/** An entry instance in the platform's list. */
 export interface ListedInstance {
   readonly instance: InstanceId;
   readonly zone: ZoneId;
@@ -29,28 +29,28 @@
   readonly state: "live" | "leaving";
 }
 
-/** Values larger than this are refused, in bytes. */
+/** Maximum size of a value, in bytes. */
 export const MAX_VALUE_BYTES = 1_000_000;
 
 /**
- * The platform, behind one interface. Every call counts against its limits.
+ * The platform. Every call counts against its rate limits.
  *
- * Failures: `conflict` (the condition did not hold), `value_too_large`,
+ * Failures: `conflict` (the precondition failed), `value_too_large`,
  * `platform_unavailable` (nothing took effect), `platform_outcome_unknown`
- * (a write may or may not have taken effect; read back before going on).
+ * (a write may or may not have taken effect; read back before continuing).
  */
 export interface Platform {
   get(key: string): Promise<Result<Versioned<string> | undefined, Failure>>;
   list(prefix: string): Promise<Result<readonly Versioned<string>[], Failure>>;
-  /** Writes conditionally and gives the new version. */
+  /** Writes conditionally and returns the new version. */
   put(
     key: string,
     value: string,
     condition: PutCondition,
   ): Promise<Result<string, Failure>>;
   /**
-   * Waits until the key's version differs from `seen`, or `waitMs` is over;
-   * gives what stands there then. May be silent, late, or repeat itself.
+   * Waits until the key's version differs from `seen`, at most `waitMs`, and
+   * returns the current value. May miss or delay a change, or repeat a version.
    */
   watch(
     key: string,
@@ -58,8 +58,8 @@
     waitMs: number,
   ): Promise<Result<Versioned<string> | undefined, Failure>>;
   instances(): Promise<Result<readonly ListedInstance[], Failure>>;
-  /** Announces this instance, or its leaving, to the platform's list. */
+  /** Announces this instance, or that it is leaving, to the platform's list. */
   announce(entry: ListedInstance): Promise<Result<void, Failure>>;
-  /** Ends waiting calls and lets connections go. */
+  /** Ends pending calls and closes connections. */
   close(): Promise<void>;
 }
--- a/src/store/platform_contract_test.ts
+++ b/src/store/platform_contract_test.ts
@@ -17,8 +17,8 @@
 interface Subject {
   readonly platform: Platform;
   readonly faults: PlatformFaults;
-  /** What the store really holds. */
-  readonly truth: MemoryPlatform;
+  /** The store without faults. */
+  readonly backing: MemoryPlatform;
   close(): Promise<void>;
 }
 
@@ -27,10 +27,10 @@
 
 function memorySubject(): Promise<Subject> {
   const clock = new SystemClock();
-  const truth = new MemoryPlatform(clock);
-  const platform = new FaultyPlatform(truth, clock);
+  const backing = new MemoryPlatform(clock);
+  const platform = new FaultyPlatform(backing, clock);
   const close = () => platform.close();
-  return Promise.resolve({ platform, faults: platform.faults, truth, close });
+  return Promise.resolve({ platform, faults: platform.faults, backing, close });
 }
 
 async function httpSubject(timeoutMs = TIMEOUT_MS): Promise<Subject> {
@@ -44,7 +44,7 @@
     await platform.close();
     await server.close();
   };
-  return { platform, faults: server.faults, truth: server.platform, close };
+  return { platform, faults: server.faults, backing: server.platform, close };
 }
 
 const SUBJECTS = { memory: memorySubject, http: () => httpSubject() };
@@ -60,12 +60,12 @@
   };
 }
 
-interface Row {
+interface TestCase {
   readonly name: string;
   readonly run: (t: ExecutionContext, s: Subject) => Promise<void>;
 }
 
-const ROWS: Row[] = [
+const CASES: TestCase[] = [
   {
     name: "a value is absent, then written once, then read with its version",
     run: async (t, { platform }) => {
@@ -77,7 +77,7 @@
     },
   },
   {
-    name: "a write on a version that has passed is a conflict",
+    name: "a write on an outdated version is a conflict",
     run: async (t, { platform }) => {
       const first = await platform.put("k", "1", { ifAbsent: true });
       const again = await platform.put("k", "2", { ifAbsent: true });
@@ -119,8 +119,8 @@
     },
   },
   {
-    // The store answers, only later than usual. Nothing may be taken for lost.
-    name: "a slow store still answers",
+    // The store responds more slowly than usual. No call may count as failed.
+    name: "calls to a slow store succeed",
     run: async (t, { platform, faults }) => {
       faults.slowMs = 30;
       t.true((await platform.put("k", "1", { ifAbsent: true })).isOk());
@@ -128,9 +128,9 @@
     },
   },
   {
-    // The store does not answer. Reads say so; a write cannot know whether it
-    // took effect, and an operator who is told "failed" would send it twice.
-    name: "a store that is down",
+    // The store does not respond. Reads fail as unavailable; a write may have
+    // taken effect, and an operator who sees "failed" would send it twice.
+    name: "calls to a store that is down fail",
     run: async (t, { platform, faults }) => {
       faults.down = true;
       const calls = [
@@ -147,10 +147,10 @@
     },
   },
   {
-    // A reader is served by a copy that is behind. It must still carry the old
-    // version, so that a write made on it is refused and undoes nothing.
-    name: "a write made on a stale read is a conflict",
-    run: async (t, { platform, faults, truth }) => {
+    // A read is served by a lagging replica. It must carry the old version, so
+    // that a write based on it is rejected and overwrites nothing.
+    name: "a write based on a stale read is a conflict",
+    run: async (t, { platform, faults, backing }) => {
       const one = await platform.put("k", "1", { ifAbsent: true });
       await platform.put("k", "2", { ifVersion: one._unsafeUnwrap() });
       faults.staleReads = true;
@@ -159,13 +159,13 @@
       const ifVersion = stale?.version ?? "";
       const put = await platform.put("k", "3", { ifVersion });
       t.is(put._unsafeUnwrapErr().code, "conflict");
-      t.is((await truth.get("k"))._unsafeUnwrap()?.value, "2");
+      t.is((await backing.get("k"))._unsafeUnwrap()?.value, "2");
     },
   },
   {
-    // The write took effect and its answer was lost on the way. Whoever writes
-    // again without reading back would meet a conflict with itself.
-    name: "a lost answer to a write that took effect",
+    // The write took effect and its response was lost. A retry without reading
+    // back would conflict with the first write.
+    name: "a lost response to a write that took effect",
     run: async (t, { platform, faults }) => {
       faults.loseAnswers = "applied";
       const put = await platform.put("k", "1", { ifAbsent: true });
@@ -174,9 +174,9 @@
     },
   },
   {
-    // The request was lost before the store saw it. To the writer it looks the
-    // same as the row above, so it may not count as done.
-    name: "a lost answer to a write that did not take effect",
+    // The request was lost before it reached the store. The writer cannot tell
+    // this from the case above, so it may not count as done.
+    name: "a lost response to a write that did not take effect",
     run: async (t, { platform, faults }) => {
       faults.loseAnswers = "dropped";
       const put = await platform.put("k", "1", { ifAbsent: true });
@@ -185,7 +185,7 @@
     },
   },
   {
-    name: "a repeated watch gives the version already seen",
+    name: "a repeated watch returns the version already seen",
     run: async (t, { platform, faults }) => {
       const put = await platform.put("k", "1", { ifAbsent: true });
       faults.watches = "repeated";
@@ -195,9 +195,9 @@
     },
   },
   {
-    // The watch was open, the value changed, and nobody said so. The change
-    // must still be seen when the wait is over, or it would never come in force.
-    name: "a silent watch gives what stands there when the wait is over",
+    // The value changed during the watch without a notification. The change must
+    // be returned at the timeout, or it would never take effect.
+    name: "a silent watch returns the current value at its timeout",
     run: async (t, { platform, faults }) => {
       const put = await platform.put("k", "1", { ifAbsent: true });
       const ifVersion = put._unsafeUnwrap();
@@ -208,7 +208,7 @@
     },
   },
   {
-    name: "a value over a megabyte is refused and nothing is written",
+    name: "a value over a megabyte is rejected and nothing is written",
     run: async (t, { platform }) => {
       const value = "x".repeat(MAX_VALUE_BYTES + 1);
       const put = await platform.put("k", value, { ifAbsent: true });
@@ -217,7 +217,7 @@
     },
   },
   {
-    name: "a value of a megabyte is kept whole",
+    name: "a value of a megabyte is stored whole",
     run: async (t, { platform }) => {
       const value = "x".repeat(MAX_VALUE_BYTES);
       t.true((await platform.put("k", value, { ifAbsent: true })).isOk());
@@ -226,9 +226,9 @@
     },
   },
   {
-    // The list is behind: an instance that has announced itself is not on it.
-    // Nobody may take a missing entry for an instance that is gone.
-    name: "a lagging instance list lacks what was just announced",
+    // The list lags: an instance that has announced itself is not on it, so a
+    // missing entry does not mean that the instance has ended.
+    name: "a lagging instance list lacks a recent announcement",
     run: async (t, { platform, faults }) => {
       await platform.announce(listed("i1", "live"));
       t.is((await platform.instances())._unsafeUnwrap().length, 1);
@@ -238,7 +238,7 @@
     },
   },
   {
-    name: "an announcement of leaving replaces that of being live",
+    name: "announcing leaving replaces the live announcement",
     run: async (t, { platform }) => {
       await platform.announce(listed("i1", "live"));
       await platform.announce(listed("i1", "leaving"));
@@ -247,9 +247,9 @@
     },
   },
   {
-    // An answer breaks off in the middle. A cut value comes as it is, and its
-    // reader checks it by digest or schema; it never throws.
-    name: "a broken body throws nothing",
+    // A response is truncated. The value is returned as received, and its reader
+    // checks it by digest or schema; no call throws.
+    name: "a truncated body throws no error",
     run: async (t, { platform, faults }) => {
       await platform.put("k", "0123456789", { ifAbsent: true });
       faults.brokenBodies = true;
@@ -269,11 +269,11 @@
 }
 
 for (const [name, open] of Object.entries(SUBJECTS)) {
-  for (const row of ROWS) {
-    test(`${name}: ${row.name}`, async (t) => {
+  for (const testCase of CASES) {
+    test(`${name}: ${testCase.name}`, async (t) => {
       const subject = await open();
       try {
-        await row.run(t, subject);
+        await testCase.run(t, subject);
       } finally {
         await subject.close();
       }
@@ -281,8 +281,8 @@
   }
 }
 
-test("http: a store that takes longer than the time limit is unavailable", async (t) => {
-  // The store hangs. Without a limit of its own the caller would hang with it.
+test("http: a store that exceeds the timeout is unavailable", async (t) => {
+  // The store hangs. Without a client timeout the caller would hang with it.
   const s = await httpSubject(SHORT_TIMEOUT_MS);
   s.faults.slowMs = 10 * SHORT_TIMEOUT_MS;
   const found = await s.platform.get("k");
@@ -290,8 +290,8 @@
   await s.close();
 });
 
-test("http: a list that breaks off is unavailable", async (t) => {
-  // Half a list looks like a store with fewer objects; it must not be taken so.
+test("http: a truncated list is unavailable", async (t) => {
+  // A truncated list must not be read as a store with fewer objects.
   const s = await httpSubject();
   await s.platform.put("k", "1", { ifAbsent: true });
   s.faults.brokenBodies = true;
@@ -300,9 +300,9 @@
   await s.close();
 });
 
-test("http: an answer without end is given up", async (t) => {
-  // Something else stands behind the platform's address and sends for ever.
-  // Read to the time limit, it would fill the memory of every instance.
+test("http: an endless response is aborted", async (t) => {
+  // Another server at the platform's address sends without end. Reading until
+  // the timeout would exhaust the memory of every instance.
   const server = createServer((_req, res) => {
     const chunk = "x".repeat(1_000_000);
     const send = () => {
--- a/src/store/testing/faulty_platform.ts
+++ b/src/store/testing/faulty_platform.ts
@@ -1,5 +1,5 @@
 /**
- * A platform that misbehaves on demand, for tests and the store stand-in.
+ * Platform wrapper that injects faults, for tests and the store stand-in.
  *
  * @module
  */
@@ -12,25 +12,25 @@
   Versioned,
 } from "../platform.ts";
 
-/** How a platform misbehaves; each may be changed at any time. */
+/** Faults to inject; each may be changed at any time. */
 export interface PlatformFaults {
   /** Every call fails. */
   down: boolean;
-  /** Every call takes this much longer, in milliseconds. */
+  /** Delay added to every call, in milliseconds. */
   slowMs: number;
-  /** Writes lose their answer: after taking effect, or before. */
+  /** Writes lose their response: after taking effect, or before. */
   loseAnswers: "none" | "applied" | "dropped";
-  /** Reads give each value as it was before its last write. */
+  /** Reads return each value as it was before its last write. */
   staleReads: boolean;
-  /** The instance list is this much behind, in milliseconds. */
+  /** Lag of the instance list, in milliseconds. */
   listLagMs: number;
-  /** Watches say nothing of a change, or end at once although nothing changed. */
+  /** Watches miss changes until they time out, or return at once unchanged. */
   watches: "live" | "silent" | "repeated";
-  /** Values come back cut in the middle. */
+  /** Values are truncated to half their length. */
   brokenBodies: boolean;
 }
 
-/** No fault at all. */
+/** No faults. */
 export function noFaults(): PlatformFaults {
   return {
     down: false,
@@ -43,15 +43,15 @@
   };
 }
 
-type Found = Versioned<string> | undefined;
+type FoundValue = Versioned<string> | undefined;
 
-interface Snapshot {
+interface ListSnapshot {
   readonly at: number;
   readonly listed: readonly ListedInstance[];
 }
 
 /**
- * Wraps a platform; what `faults` holds is what goes wrong.
+ * Wraps a platform and injects the faults set in `faults`.
  *
  * @example
  * ```ts
@@ -61,33 +61,35 @@
  */
 export class FaultyPlatform implements Platform {
   readonly faults: PlatformFaults = noFaults();
-  /** Calls made so far, by name; a waiting watch is one. */
+  /** Number of calls by name; a watch counts once. */
   readonly calls: Map<string, number> = new Map();
   readonly #inner: Platform;
   readonly #clock: Clock;
-  readonly #before = new Map<string, Found>();
-  readonly #snapshots: Snapshot[] = [];
+  readonly #previous = new Map<string, FoundValue>();
+  readonly #snapshots: ListSnapshot[] = [];
 
   constructor(inner: Platform, clock: Clock) {
     this.#inner = inner;
     this.#clock = clock;
   }
 
-  async get(key: string): Promise<Result<Found, Failure>> {
-    const down = await this.#enter("get");
+  async get(key: string): Promise<Result<FoundValue, Failure>> {
+    const down = await this.#beginCall("get");
     if (down) return down;
     const found = await this.#inner.get(key);
-    return found.map((f) => this.#seen(key, f));
+    return found.map((f) => this.#injectFaults(key, f));
   }
 
   async list(
     prefix: string,
   ): Promise<Result<readonly Versioned<string>[], Failure>> {
-    const down = await this.#enter("list");
+    const down = await this.#beginCall("list");
     if (down) return down;
     const found = await this.#inner.list(prefix);
     return found.map((all) =>
-      all.map((f) => this.#seen(f.key, f)).filter((f) => f !== undefined)
+      all.map((f) => this.#injectFaults(f.key, f)).filter((f) =>
+        f !== undefined
+      )
     );
   }
 
@@ -96,30 +98,30 @@
     value: string,
     condition: PutCondition,
   ): Promise<Result<string, Failure>> {
-    const down = await this.#enter("put");
-    if (down || this.faults.loseAnswers === "dropped") return lost(key);
-    const before = await this.#inner.get(key);
+    const down = await this.#beginCall("put");
+    if (down || this.faults.loseAnswers === "dropped") return responseLost(key);
+    const prior = await this.#inner.get(key);
     const written = await this.#inner.put(key, value, condition);
-    if (written.isOk() && before.isOk()) this.#before.set(key, before.value);
-    return this.faults.loseAnswers === "applied" ? lost(key) : written;
+    if (written.isOk() && prior.isOk()) this.#previous.set(key, prior.value);
+    return this.faults.loseAnswers === "applied" ? responseLost(key) : written;
   }
 
   async watch(
     key: string,
     seen: string | undefined,
     waitMs: number,
-  ): Promise<Result<Found, Failure>> {
-    const down = await this.#enter("watch");
+  ): Promise<Result<FoundValue, Failure>> {
+    const down = await this.#beginCall("watch");
     if (down) return down;
     if (this.faults.watches === "silent") await sleep(this.#clock, waitMs);
     const found = this.faults.watches === "live"
       ? await this.#inner.watch(key, seen, waitMs)
       : await this.#inner.get(key);
-    return found.map((f) => this.#seen(key, f));
+    return found.map((f) => this.#injectFaults(key, f));
   }
 
   async instances(): Promise<Result<readonly ListedInstance[], Failure>> {
-    const down = await this.#enter("instances");
+    const down = await this.#beginCall("instances");
     if (down) return down;
     if (this.faults.listLagMs === 0) return await this.#inner.instances();
     const until = this.#clock.now() - this.faults.listLagMs;
@@ -127,7 +129,7 @@
   }
 
   async announce(entry: ListedInstance): Promise<Result<void, Failure>> {
-    const down = await this.#enter("announce");
+    const down = await this.#beginCall("announce");
     if (down) return down;
     const announced = await this.#inner.announce(entry);
     const listed = await this.#inner.instances();
@@ -141,22 +143,22 @@
     await this.#inner.close();
   }
 
-  async #enter(call: string): Promise<Result<never, Failure> | undefined> {
+  async #beginCall(call: string): Promise<Result<never, Failure> | undefined> {
     this.calls.set(call, (this.calls.get(call) ?? 0) + 1);
     if (this.faults.slowMs > 0) await sleep(this.#clock, this.faults.slowMs);
     if (!this.faults.down) return undefined;
     return fail("platform_unavailable", "the platform is down");
   }
 
-  #seen(key: string, now: Found): Found {
-    const stale = this.faults.staleReads && this.#before.has(key);
-    const found = stale ? this.#before.get(key) : now;
+  #injectFaults(key: string, now: FoundValue): FoundValue {
+    const stale = this.faults.staleReads && this.#previous.has(key);
+    const found = stale ? this.#previous.get(key) : now;
     if (found === undefined || !this.faults.brokenBodies) return found;
     const half = Math.floor(found.value.length / 2);
     return { ...found, value: found.value.slice(0, half) };
   }
 }
 
-function lost(key: string): Result<never, Failure> {
-  return fail("platform_outcome_unknown", `the answer for ${key} was lost`);
+function responseLost(key: string): Result<never, Failure> {
+  return fail("platform_outcome_unknown", `response for ${key} was lost`);
 }
--- a/src/store/testing/mod.ts
+++ b/src/store/testing/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Platforms that misbehave, for tests.
+ * Fault-injecting platform, for tests.
  *
  * @module
  */
