--- a/tools/bench/fleet.ts
+++ b/tools/bench/fleet.ts
@@ -98,7 +98,7 @@
         report.uses,
         now,
       );
-      load.reported(report.group, report.inFlight);
+      load.applyReport(report.group, report.inFlight);
     },
     report: (now) => {
       for (let i = 0; i < activeCount; i++) {
