--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import sade from "sade";
-import { unknownName } from "../core/mod.ts";
+import { unknownNameMessage } from "../core/mod.ts";
 import {
   apply,
   check,
@@ -231,7 +231,7 @@
   for (const command of COMMANDS) registerCommand(program, command, ctx);
   const parsed = program.parse([...argv], {
     lazy: true,
-    unknown: (flag) => unknownName("option", flag, commandFlags(argv)),
+    unknown: (flag) => unknownNameMessage("option", flag, commandFlags(argv)),
     boolean: ["json", "html"],
     string: STRING_FLAGS,
   });
--- a/src/core/connect_limit.ts
+++ b/src/core/connect_timeout.ts
@@ -16,7 +16,11 @@
  * limitConnect(connect({ host, port }), 500, clock);
  * ```
  */
-export function limitConnect(socket: Socket, ms: number, clock: Clock): void {
+export function setConnectTimeout(
+  socket: Socket,
+  ms: number,
+  clock: Clock,
+): void {
   const timer = clock.after(
     ms,
     () => void socket.destroy(new Error("connect timed out")),
--- a/src/core/failure.ts
+++ b/src/core/failure.ts
@@ -51,7 +51,7 @@
 export type FailurePath = readonly (string | number)[];
 
 /** The author, version and time of a conflicting change. */
-export interface OtherChange {
+export interface ConflictingChange {
   readonly author: string;
   readonly version: number;
   /** Milliseconds since the Unix epoch. */
@@ -67,7 +67,7 @@
   /** When to retry, in milliseconds from now. */
   readonly retryAfterMs?: number;
   /** For a `conflict`, the change that was written first. */
-  readonly change?: OtherChange | undefined;
+  readonly change?: ConflictingChange | undefined;
   /** The individual failures of a value that were combined into this one. */
   readonly issues?: readonly Failure[];
 }
--- a/src/core/http_calls.ts
+++ b/src/core/http_client.ts
@@ -9,11 +9,11 @@
 import { Buffer } from "node:buffer";
 import { Agent, request } from "node:http";
 import { SystemClock } from "./clock.ts";
-import { limitConnect } from "./connect_limit.ts";
+import { setConnectTimeout } from "./connect_timeout.ts";
 import { Deadline } from "./deadline.ts";
 
 /** A request and its limits. */
-export interface HttpCall {
+export interface HttpRequest {
   readonly host: string;
   readonly port: number;
   readonly method: string;
@@ -26,13 +26,13 @@
 }
 
 /** A complete response. */
-export interface HttpReply {
+export interface HttpResponse {
   readonly status: number;
   readonly body: Buffer;
 }
 
 /** Sends requests over keep-alive connections. */
-export class HttpCalls {
+export class HttpClient {
   readonly #agent = new Agent({ keepAlive: true });
   readonly #clock = new SystemClock();
   readonly #connectTimeoutMs: number;
@@ -57,7 +57,7 @@
    * });
    * ```
    */
-  async call(call: HttpCall): Promise<HttpReply> {
+  async call(call: HttpRequest): Promise<HttpResponse> {
     const deadline = new Deadline(call.timeoutMs, call.signal);
     try {
       return await this.#send(call, deadline.signal);
@@ -70,7 +70,7 @@
     this.#agent.destroy();
   }
 
-  #send(call: HttpCall, signal: AbortSignal): Promise<HttpReply> {
+  #send(call: HttpRequest, signal: AbortSignal): Promise<HttpResponse> {
     const { host, port, method, path, json } = call;
     const body = json === undefined ? undefined : JSON.stringify(json);
     const headers = body === undefined ? {} : {
@@ -92,7 +92,7 @@
       req.on("error", reject);
       req.once("socket", (socket) => {
         if (!socket.connecting) return;
-        limitConnect(socket, this.#connectTimeoutMs, this.#clock);
+        setConnectTimeout(socket, this.#connectTimeoutMs, this.#clock);
       });
       req.end(body);
     });
--- a/src/core/http_calls_test.ts
+++ b/src/core/http_client_test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { createServer, type RequestListener, type Server } from "node:http";
 import type { AddressInfo } from "node:net";
-import { type HttpCall, HttpCalls } from "./mod.ts";
+import { HttpClient, type HttpRequest } from "./mod.ts";
 
 function serve(listener: RequestListener): Promise<Server> {
   const server = createServer(listener);
@@ -10,7 +10,10 @@
   });
 }
 
-function callTo(server: Server, change: Partial<HttpCall> = {}): HttpCall {
+function callTo(
+  server: Server,
+  change: Partial<HttpRequest> = {},
+): HttpRequest {
   return {
     host: "127.0.0.1",
     port: (server.address() as AddressInfo).port,
@@ -26,7 +29,7 @@
   let connections = 0;
   const server = await serve((req, res) => res.end(`${req.method} ok`));
   server.on("connection", () => connections++);
-  const calls = new HttpCalls(500);
+  const calls = new HttpClient(500);
   const first = await calls.call(callTo(server));
   const second = await calls.call(callTo(server, { method: "POST", json: {} }));
   t.deepEqual([first.status, first.body.toString()], [200, "GET ok"]);
@@ -40,7 +43,7 @@
 // Guards against a call to a server that hangs never ending.
 test("a call without a response in time fails", async (t) => {
   const server = await serve(() => {});
-  const calls = new HttpCalls(500);
+  const calls = new HttpClient(500);
   await t.throwsAsync(calls.call(callTo(server, { timeoutMs: 50 })));
   calls.close();
   server.closeAllConnections();
@@ -53,7 +56,7 @@
     res.writeHead(200, { "content-length": "10" });
     res.write("half", () => res.destroy());
   });
-  const calls = new HttpCalls(500);
+  const calls = new HttpClient(500);
   await t.throwsAsync(calls.call(callTo(server)));
   calls.close();
   server.close();
--- a/src/core/nearest.ts
+++ b/src/core/nearest_name.ts
@@ -15,7 +15,7 @@
  * nearest("prot", ["host", "port"]); // "port"
  * ```
  */
-export function nearest(
+export function nearestName(
   name: string,
   known: readonly string[],
 ): string | undefined {
@@ -38,12 +38,12 @@
  * // 'unknown key "prot"; did you mean "port"? Allowed: host, port'
  * ```
  */
-export function unknownName(
+export function unknownNameMessage(
   what: string,
   name: string,
   known: readonly string[],
 ): string {
-  const suggestion = nearest(name, known);
+  const suggestion = nearestName(name, known);
   const hint = suggestion === undefined
     ? ""
     : `; did you mean "${suggestion}"?`;
--- a/src/core/random.ts
+++ b/src/core/random.ts
@@ -26,7 +26,7 @@
  * someOf(["a", "b", "c"], 2, random); // for example ["c", "a"]
  * ```
  */
-export function someOf<T>(
+export function sampleConsecutive<T>(
   list: readonly T[],
   maxCount: number,
   random: Random,
--- a/src/core/strict.ts
+++ b/src/core/strict.ts
@@ -6,7 +6,7 @@
 import { err, ok, type Result } from "neverthrow";
 import { z } from "zod";
 import { fail, type Failure, type FailureCode, fromZod } from "./failure.ts";
-import { unknownName } from "./nearest.ts";
+import { unknownNameMessage } from "./nearest_name.ts";
 
 /**
  * An object schema that rejects unknown keys, with an error that suggests the
@@ -25,7 +25,9 @@
     error: (issue) => {
       if (issue.code !== "unrecognized_keys") return undefined;
       const keys = issue["keys"] as string[];
-      return keys.map((key) => unknownName("key", key, known)).join("; ");
+      return keys.map((key) => unknownNameMessage("key", key, known)).join(
+        "; ",
+      );
     },
   });
 }
--- a/src/document/drain_edit.ts
+++ b/src/document/drain_edit.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { ok, type Result } from "neverthrow";
-import { fail, type Failure, unknownName } from "../core/mod.ts";
+import { fail, type Failure, unknownNameMessage } from "../core/mod.ts";
 import { type SteeringDocument, zonesOf } from "./document.ts";
 import type { AcceptedDocument } from "./document_store.ts";
 import type { SectionChange } from "./section_edit.ts";
@@ -24,7 +24,7 @@
 ): Result<SectionChange, Failure> {
   const known = knownIds(current.document, drain.kind);
   if (known !== undefined && !known.includes(drain.id)) {
-    return fail("not_found", unknownName(drain.kind, drain.id, known));
+    return fail("not_found", unknownNameMessage(drain.kind, drain.id, known));
   }
   const drains = drainsOf(current, name).filter((d) => !isSameDrain(d, drain));
   return ok({ name, value: { drains: [...drains, drain] } });
--- a/src/document/key_edit.ts
+++ b/src/document/key_edit.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { err, ok, type Result } from "neverthrow";
-import { fail, type Failure, unknownName } from "../core/mod.ts";
+import { fail, type Failure, unknownNameMessage } from "../core/mod.ts";
 import type { AcceptedDocument } from "./document_store.ts";
 import type { SectionChange } from "./section_edit.ts";
 import { sectionKindOf, type SectionName } from "./sections.ts";
@@ -41,7 +41,7 @@
   return updateKeys(current, account, (keys) => {
     const ids = keys.map((k) => k.id);
     if (!ids.includes(id)) {
-      return fail("not_found", unknownName("key", id, ids));
+      return fail("not_found", unknownNameMessage("key", id, ids));
     }
     return ok(keys.map((k) => k.id === id ? { ...k, withdrawn: true } : k));
   });
@@ -66,5 +66,5 @@
     return ok({ name: name as SectionName, value: { ...section, accounts } });
   }
   const known = Object.keys(current.document.accounts);
-  return fail("not_found", unknownName("account", account, known));
+  return fail("not_found", unknownNameMessage("account", account, known));
 }
--- a/src/edge/endpoint_connections.ts
+++ b/src/edge/endpoint_connections.ts
@@ -5,7 +5,7 @@
  */
 import { Agent, type AgentOptions } from "node:http";
 import { connect, type Socket } from "node:net";
-import { type Clock, limitConnect } from "../core/mod.ts";
+import { type Clock, setConnectTimeout } from "../core/mod.ts";
 import type { HostPort } from "../fleet/mod.ts";
 import { type ConnectionState, trackConnection } from "./connection_end.ts";
 
@@ -72,7 +72,7 @@
     };
     this.#connections.set(socket, connection);
     trackConnection(socket, connection);
-    limitConnect(socket, CONNECT_TIMEOUT_MS, this.#clock);
+    setConnectTimeout(socket, CONNECT_TIMEOUT_MS, this.#clock);
     // Bytes on an idle connection do not belong to any request.
     const closeIfIdle = () => {
       if (connection.idleSince !== undefined) socket.destroy();
--- a/src/edge/peer_snapshots.ts
+++ b/src/edge/peer_snapshots.ts
@@ -11,10 +11,10 @@
 import {
   fail,
   type Failure,
-  HttpCalls,
+  HttpClient,
   packJson,
   type Random,
-  someOf,
+  sampleConsecutive,
   unpackJson,
 } from "../core/mod.ts";
 import { type InstanceProfile, splitAddress } from "../fleet/mod.ts";
@@ -47,7 +47,7 @@
 /** Fetches snapshots from peers. */
 export class PeerSnapshots {
   readonly #random: Random;
-  readonly #calls = new HttpCalls(FETCH_TIMEOUT_MS);
+  readonly #calls = new HttpClient(FETCH_TIMEOUT_MS);
 
   constructor(random: Random) {
     this.#random = random;
@@ -63,7 +63,7 @@
     from: readonly InstanceProfile[],
     signal: AbortSignal,
   ): Promise<Result<RelayedSnapshot, Failure>> {
-    for (const profile of someOf(from, MAX_PEERS, this.#random)) {
+    for (const profile of sampleConsecutive(from, MAX_PEERS, this.#random)) {
       const snapshot = await this.#fetchFrom(kind, profile, signal);
       if (snapshot !== undefined) return ok(snapshot);
     }
--- a/src/fleet/fleet_member.ts
+++ b/src/fleet/fleet_member.ts
@@ -14,7 +14,7 @@
   type InstanceId,
   type Log,
   type Random,
-  someOf,
+  sampleConsecutive,
   type ZoneId,
 } from "../core/mod.ts";
 import {
@@ -340,7 +340,9 @@
       ...this.#peers.peers().filter((p) => !p.unreachable),
       ...this.#peers.peersTrackedByZone(),
     ];
-    return someOf(known, most, this.#opts.random).map((p) => p.profile);
+    return sampleConsecutive(known, most, this.#opts.random).map((p) =>
+      p.profile
+    );
   }
 
   #reported(digest: Digest, now: number): void {
--- a/src/fleet/zone_exchange.ts
+++ b/src/fleet/zone_exchange.ts
@@ -6,7 +6,12 @@
  *
  * @module
  */
-import { type Clock, type Random, someOf, type ZoneId } from "../core/mod.ts";
+import {
+  type Clock,
+  type Random,
+  sampleConsecutive,
+  type ZoneId,
+} from "../core/mod.ts";
 import type { ReservedShares } from "../decisions/quotas/mod.ts";
 import type { Datagrams } from "./datagrams.ts";
 import type { Digest } from "./digest.ts";
@@ -85,7 +90,7 @@
       const relay = zones.relay(other);
       if (relay !== undefined) return [relay];
       includeProfiles = true;
-      return someOf(zoneInstances, CONTACTS_PER_ZONE, random);
+      return sampleConsecutive(zoneInstances, CONTACTS_PER_ZONE, random);
     });
     const addresses = to.map((profile) => profile.digestAddress);
     datagrams.send(
--- a/src/fleet/zone_relay.ts
+++ b/src/fleet/zone_relay.ts
@@ -13,7 +13,7 @@
   hash,
   type InstanceId,
   type Random,
-  someOf,
+  sampleConsecutive,
   type ZoneId,
 } from "../core/mod.ts";
 import { type Reservation, sumOfReserved } from "../decisions/quotas/mod.ts";
@@ -189,7 +189,7 @@
     const now = clock.now();
     const all = this.#hasNewcomer &&
       now - this.#allProfilesSentAt >= ALL_PROFILES_INTERVAL_MS;
-    if (!all) return someOf(known, PROFILES_PER_AGGREGATE, random);
+    if (!all) return sampleConsecutive(known, PROFILES_PER_AGGREGATE, random);
     this.#hasNewcomer = false;
     this.#allProfilesSentAt = now;
     return known;
