--- a/src/edge/endpoint_chooser.ts
+++ b/src/edge/endpoint_chooser.ts
@@ -147,7 +147,7 @@
     row.inFlight--;
     if (result.kind === "answer" || result.kind === "not-run") {
       const { load } = result.fields;
-      if (load !== undefined) row.reported(load, now);
+      if (load !== undefined) row.applyReport(load, now);
       this.#recordLimit(row, result, now);
     }
     switch (result.kind) {
--- a/src/edge/steering_handlers.ts
+++ b/src/edge/steering_handlers.ts
@@ -48,7 +48,7 @@
     this.#log.event("plan_missing", { name, plan: this.#state.planVersion });
   }
 
-  contact(): void {}
+  setReachable(): void {}
 }
 
 /** Applies the endpoints' registrations. */
@@ -110,7 +110,7 @@
     this.#pendingRemovals.set(id, timer);
   }
 
-  contact(inTouch: boolean): void {
+  setReachable(inTouch: boolean): void {
     if (inTouch) this.#expiry.regained(this.#clock.now());
     else this.#expiry.lost(this.#clock.now());
   }
@@ -177,5 +177,5 @@
     this.#log.event("zone_restored", { zone: name });
   }
 
-  contact(): void {}
+  setReachable(): void {}
 }
--- a/src/edge/steering_watchers.ts
+++ b/src/edge/steering_watchers.ts
@@ -50,7 +50,7 @@
       sink: ResourceHandler<T>,
     ): [string, ResourceWatcher<unknown>] => [
       kind,
-      new ResourceWatcher({ ...common, kind, source, sink }),
+      new ResourceWatcher({ ...common, kind, source, handler: sink }),
     ];
     this.#watchers = new Map([
       createWatcher("plans", sources.plans, handlers.plans),
@@ -72,7 +72,7 @@
 
   /** Applies changes that a peer relays. */
   applyRelayed(batch: RelayedChanges): void {
-    this.#watchers.get(batch.kind)?.reported(batch);
+    this.#watchers.get(batch.kind)?.applyRelayed(batch);
   }
 
   /** Handles the latest revisions that a peer reports. */
--- a/src/store/memory_platform.ts
+++ b/src/store/memory_platform.ts
@@ -80,7 +80,7 @@
   }
 
   /** Delists an instance, as the platform does some time after it ended. */
-  forget(instance: string): void {
+  removeInstance(instance: string): void {
     this.#instances.delete(instance);
   }
 
--- a/src/traffic/endpoint_table.ts
+++ b/src/traffic/endpoint_table.ts
@@ -60,7 +60,7 @@
   }
 
   /** Records a load report. */
-  reported(report: LoadReport, now: number): void {
+  applyReport(report: LoadReport, now: number): void {
     this.report = report;
     this.reportedAt = now;
   }
--- a/src/watcher/resource_watcher.ts
+++ b/src/watcher/resource_watcher.ts
@@ -61,7 +61,7 @@
 export interface ResourceWatcherOptions<T> {
   readonly kind: string;
   readonly source: ResourceClient<T>;
-  readonly sink: ResourceHandler<T>;
+  readonly handler: ResourceHandler<T>;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Log;
@@ -134,7 +134,7 @@
   }
 
   /** Applies changes that a peer relays. */
-  reported(batch: RelayedChanges): void {
+  applyRelayed(batch: RelayedChanges): void {
     if (this.#revision === undefined || batch.upTo <= this.#revision) return;
     if (batch.changes === undefined || batch.after > this.#revision) {
       return this.onRevision(batch.upTo);
@@ -144,7 +144,7 @@
       const entry = this.#opts.source.read(raw);
       if (entry !== undefined) changes.push({ entry, deleted });
     }
-    if (batch.holdMs > 0) this.#opts.sink.holdDeleted?.(batch.holdMs);
+    if (batch.holdMs > 0) this.#opts.handler.holdDeleted?.(batch.holdMs);
     this.#applyNewer(changes);
     this.#revision = batch.upTo;
     this.#cache.setRevision(batch.upTo);
@@ -160,7 +160,7 @@
   snapshot(): RelayedSnapshot | undefined {
     if (this.#revision === undefined) return undefined;
     const { changedAt, objects } = this.#cache;
-    const holdMs = this.#opts.sink.holdMs?.() ?? 0;
+    const holdMs = this.#opts.handler.holdMs?.() ?? 0;
     return { revision: this.#revision, changedAt, objects, holdMs };
   }
 
@@ -207,7 +207,7 @@
   #replace(all: Snapshot<T>): undefined {
     // Before the entries: a missing entry may have expired during an outage.
     this.#onReachable();
-    this.#opts.sink.replaced(all.entries);
+    this.#opts.handler.replaced(all.entries);
     this.#cache.replace(all, { again: this.#initialized });
     this.#initialized = true;
     this.#revision = all.revision;
@@ -243,7 +243,7 @@
   }
 
   #notifyHandler(changes: readonly StoredChange<T>[]): void {
-    const { sink } = this.#opts;
+    const { handler: sink } = this.#opts;
     for (const { entry, deleted } of changes) {
       if (deleted) sink.deleted(entry.name);
       else sink.changed(entry);
@@ -255,7 +255,7 @@
     upTo: number,
     changes: readonly StoredChange<T>[],
   ): void {
-    const { kind, relay, sink } = this.#opts;
+    const { kind, relay, handler: sink } = this.#opts;
     relay?.({
       kind,
       after,
@@ -278,12 +278,12 @@
     const revision = this.#revision;
     if (revision === undefined || !this.#isBehind()) return;
     if (await this.#fetch(this.#reportedRevision)) return;
-    const { source, sink } = this.#opts;
+    const { source, handler: sink } = this.#opts;
     const { signal } = this.#abort;
     const seen = await source.watch(revision, IMMEDIATE_TIMEOUT_MS, signal);
     if (signal.aborted) return;
     if (seen.isOk()) {
-      sink.contact(true);
+      sink.setReachable(true);
       this.#apply(seen.value);
     } else if (seen.error.code === "history_lost") {
       this.#revision = undefined;
@@ -293,7 +293,7 @@
 
   /** Loads a newer snapshot from a peer; returns whether it did. */
   async #fetch(atLeast: number): Promise<boolean> {
-    const { kind, fetch = NO_PEERS, source, sink, log } = this.#opts;
+    const { kind, fetch = NO_PEERS, source, handler: sink, log } = this.#opts;
     const fetched = await fetch(kind, atLeast, this.#abort.signal);
     if (fetched.isErr()) return false;
     const { revision, changedAt, objects, holdMs } = fetched.value;
@@ -316,11 +316,11 @@
   }
 
   #onReachable(): void {
-    const { kind, log, sink, clock } = this.#opts;
+    const { kind, log, handler: sink, clock } = this.#opts;
     const outageSince = this.#outageSince;
     this.#failures = 0;
     this.#outageSince = undefined;
-    if (outageSince !== undefined || this.#unconfirmed) sink.contact(true);
+    if (outageSince !== undefined || this.#unconfirmed) sink.setReachable(true);
     this.#unconfirmed = false;
     if (outageSince === undefined) return;
     const lostMs = Math.round(clock.now() - outageSince);
@@ -328,7 +328,7 @@
   }
 
   async #recover(failed: Failure): Promise<void> {
-    const { kind, log, sink, clock, random } = this.#opts;
+    const { kind, log, handler: sink, clock, random } = this.#opts;
     if (failed.code === "history_lost") {
       this.#revision = undefined;
       log.event("store_history_lost", { kind });
@@ -337,7 +337,7 @@
     this.#failures++;
     if (this.#outageSince === undefined) {
       this.#outageSince = clock.now();
-      sink.contact(false);
+      sink.setReachable(false);
       log.event("store_lost", { kind, code: failed.code });
     }
     const backoffMs = Math.min(
--- a/src/watcher/resource_watcher_test.ts
+++ b/src/watcher/resource_watcher_test.ts
@@ -71,13 +71,13 @@
     replaced: (entries) => seen.push(`all ${entries.map((e) => e.name)}`),
     changed: (entry) => seen.push(`changed ${entry.name}`),
     deleted: (name) => seen.push(`deleted ${name}`),
-    contact: (inTouch) => seen.push(inTouch ? "in touch" : "lost"),
+    setReachable: (inTouch) => seen.push(inTouch ? "in touch" : "lost"),
   };
   const clock = new ManualClock();
   const resourceWatcher = new ResourceWatcher({
     kind: "things",
     source,
-    sink,
+    handler: sink,
     clock,
     random: new SeededRandom(1),
     log: new SilentLog(),
@@ -178,8 +178,8 @@
   // Two instances of a zone watch the store, and both relay its changes.
   const { seen, step, resourceWatcher } = watcher(list(5, "a"));
   await step();
-  resourceWatcher.reported(batch());
-  resourceWatcher.reported(batch());
+  resourceWatcher.applyRelayed(batch());
+  resourceWatcher.applyRelayed(batch());
   t.deepEqual(seen, ["list", "all a", "changed b"]);
   t.is(resourceWatcher.changedAt, 7);
 });
@@ -191,8 +191,8 @@
   await step();
   const raw = { name: "b", revision: 9 };
   const newer = [{ raw, deleted: false }];
-  resourceWatcher.reported(batch({ upTo: 9, changes: newer }));
-  resourceWatcher.reported(batch({ upTo: 10 }));
+  resourceWatcher.applyRelayed(batch({ upTo: 9, changes: newer }));
+  resourceWatcher.applyRelayed(batch({ upTo: 10 }));
   t.deepEqual(seen, ["list", "all a", "changed b"]);
 });
 
@@ -202,7 +202,7 @@
   await step();
   const objects = [{ name: "c", revision: 8 }];
   peer.snapshot = { revision: 9, changedAt: 9, objects, holdMs: 0 };
-  resourceWatcher.reported(batch({ after: 7, upTo: 9 }));
+  resourceWatcher.applyRelayed(batch({ after: 7, upTo: 9 }));
   t.deepEqual(seen, ["list", "all a"]);
   await pass(200);
   t.deepEqual(seen, ["list", "all a", "deleted a", "changed c"]);
@@ -226,7 +226,7 @@
   const { seen, step, resourceWatcher, pass } = watcher(list(5, "a"));
   await step();
   resourceWatcher.onRevision(7);
-  resourceWatcher.reported(batch());
+  resourceWatcher.applyRelayed(batch());
   await pass(200);
   t.deepEqual(seen, ["list", "all a", "changed b"]);
 });
--- a/tools/soak/soak_world.ts
+++ b/tools/soak/soak_world.ts
@@ -173,7 +173,7 @@
   #remove(node: SoakNode): void {
     this.network.nodes.delete(node.name);
     this.nodes.splice(this.nodes.indexOf(node), 1);
-    this.store.forget(node.name);
+    this.store.removeInstance(node.name);
   }
 }
 
