--- a/tools/bundle/bundle.ts
+++ b/tools/bundle/bundle.ts
@@ -58,7 +58,7 @@
  *
  * @param plugins Plugins that run before the default ones.
  */
-export async function bundleAlone(
+export async function bundleStandalone(
   outfile: string,
   plugins: readonly Plugin[] = [],
 ): Promise<void> {
--- a/tools/process_soak/process_soak_test.ts
+++ b/tools/process_soak/process_soak_test.ts
@@ -3,7 +3,7 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { stop } from "esbuild";
-import { bundleAlone } from "../bundle/bundle.ts";
+import { bundleStandalone } from "../bundle/bundle.ts";
 import type { FaultName } from "./faults.ts";
 import { planted, type PlantedFault } from "./planted_fault.ts";
 import { ProcessSoak } from "./process_soak.ts";
@@ -17,7 +17,7 @@
 async function program(fault?: PlantedFault): Promise<string> {
   const dir = await mkdtemp(join(tmpdir(), "magnoliahook-bundle-"));
   const file = join(dir, "magnoliahook.cjs");
-  await bundleAlone(file, fault === undefined ? [] : [planted(fault)]);
+  await bundleStandalone(file, fault === undefined ? [] : [planted(fault)]);
   return file;
 }
 
