--- a/src/core/connect_timeout.ts
+++ b/src/core/connect_timeout.ts
@@ -13,7 +13,7 @@
  *
  * @example
  * ```ts
- * limitConnect(connect({ host, port }), 500, clock);
+ * setConnectTimeout(connect({ host, port }), 500, clock);
  * ```
  */
 export function setConnectTimeout(
--- a/src/core/http_client.ts
+++ b/src/core/http_client.ts
@@ -48,7 +48,7 @@
    *
    * @example
    * ```ts
-   * const { status, body } = await calls.call({
+   * const { status, body } = await client.call({
    *   ...splitAddress("10.1.0.2:8500"),
    *   method: "GET",
    *   path: "/objects/config",
--- a/src/core/http_client_test.ts
+++ b/src/core/http_client_test.ts
@@ -10,7 +10,7 @@
   });
 }
 
-function callTo(
+function requestTo(
   server: Server,
   change: Partial<HttpRequest> = {},
 ): HttpRequest {
@@ -29,13 +29,15 @@
   let connections = 0;
   const server = await serve((req, res) => res.end(`${req.method} ok`));
   server.on("connection", () => connections++);
-  const calls = new HttpClient(500);
-  const first = await calls.call(callTo(server));
-  const second = await calls.call(callTo(server, { method: "POST", json: {} }));
+  const client = new HttpClient(500);
+  const first = await client.call(requestTo(server));
+  const second = await client.call(
+    requestTo(server, { method: "POST", json: {} }),
+  );
   t.deepEqual([first.status, first.body.toString()], [200, "GET ok"]);
   t.is(second.body.toString(), "POST ok");
   t.is(connections, 1);
-  calls.close();
+  client.close();
   server.closeAllConnections();
   server.close();
 });
@@ -43,9 +45,9 @@
 // Guards against a call to a server that hangs never ending.
 test("a call without a response in time fails", async (t) => {
   const server = await serve(() => {});
-  const calls = new HttpClient(500);
-  await t.throwsAsync(calls.call(callTo(server, { timeoutMs: 50 })));
-  calls.close();
+  const client = new HttpClient(500);
+  await t.throwsAsync(client.call(requestTo(server, { timeoutMs: 50 })));
+  client.close();
   server.closeAllConnections();
   server.close();
 });
@@ -56,8 +58,8 @@
     res.writeHead(200, { "content-length": "10" });
     res.write("half", () => res.destroy());
   });
-  const calls = new HttpClient(500);
-  await t.throwsAsync(calls.call(callTo(server)));
-  calls.close();
+  const client = new HttpClient(500);
+  await t.throwsAsync(client.call(requestTo(server)));
+  client.close();
   server.close();
 });
--- a/src/core/nearest_name.ts
+++ b/src/core/nearest_name.ts
@@ -12,7 +12,7 @@
  *
  * @example
  * ```ts
- * nearest("prot", ["host", "port"]); // "port"
+ * nearestName("prot", ["host", "port"]); // "port"
  * ```
  */
 export function nearestName(
@@ -34,7 +34,7 @@
  *
  * @example
  * ```ts
- * unknownName("key", "prot", ["host", "port"]);
+ * unknownNameMessage("key", "prot", ["host", "port"]);
  * // 'unknown key "prot"; did you mean "port"? Allowed: host, port'
  * ```
  */
--- a/src/core/random.ts
+++ b/src/core/random.ts
@@ -23,7 +23,7 @@
  *
  * @example
  * ```ts
- * someOf(["a", "b", "c"], 2, random); // for example ["c", "a"]
+ * sampleConsecutive(["a", "b", "c"], 2, random); // for example ["c", "a"]
  * ```
  */
 export function sampleConsecutive<T>(
