--- a/src/watcher/resource_client.ts
+++ b/src/watcher/resource_client.ts
@@ -61,7 +61,7 @@
   changed(entry: StoredEntry<T>): void;
   deleted(name: string): void;
   /** The store became unreachable, or reachable again. */
-  setReachable(inTouch: boolean): void;
+  setReachable(reachable: boolean): void;
   /** How long objects deleted now may still reappear, in milliseconds. */
   holdMs?(): number;
   /** Another instance reports how long objects deleted now may reappear. */
--- a/src/watcher/resource_watcher.ts
+++ b/src/watcher/resource_watcher.ts
@@ -243,10 +243,10 @@
   }
 
   #notifyHandler(changes: readonly StoredChange<T>[]): void {
-    const { handler: sink } = this.#opts;
+    const { handler } = this.#opts;
     for (const { entry, deleted } of changes) {
-      if (deleted) sink.deleted(entry.name);
-      else sink.changed(entry);
+      if (deleted) handler.deleted(entry.name);
+      else handler.changed(entry);
     }
   }
 
@@ -255,7 +255,7 @@
     upTo: number,
     changes: readonly StoredChange<T>[],
   ): void {
-    const { kind, relay, handler: sink } = this.#opts;
+    const { kind, relay, handler } = this.#opts;
     relay?.({
       kind,
       after,
@@ -264,7 +264,7 @@
         raw: entry.raw,
         deleted,
       })),
-      holdMs: sink.holdMs?.() ?? 0,
+      holdMs: handler.holdMs?.() ?? 0,
     });
   }
 
@@ -278,12 +278,12 @@
     const revision = this.#revision;
     if (revision === undefined || !this.#isBehind()) return;
     if (await this.#fetch(this.#reportedRevision)) return;
-    const { source, handler: sink } = this.#opts;
+    const { source, handler } = this.#opts;
     const { signal } = this.#abort;
     const seen = await source.watch(revision, IMMEDIATE_TIMEOUT_MS, signal);
     if (signal.aborted) return;
     if (seen.isOk()) {
-      sink.setReachable(true);
+      handler.setReachable(true);
       this.#apply(seen.value);
     } else if (seen.error.code === "history_lost") {
       this.#revision = undefined;
@@ -293,7 +293,7 @@
 
   /** Loads a newer snapshot from a peer; returns whether it did. */
   async #fetch(atLeast: number): Promise<boolean> {
-    const { kind, fetch = NO_PEERS, source, handler: sink, log } = this.#opts;
+    const { kind, fetch = NO_PEERS, source, handler, log } = this.#opts;
     const fetched = await fetch(kind, atLeast, this.#abort.signal);
     if (fetched.isErr()) return false;
     const { revision, changedAt, objects, holdMs } = fetched.value;
@@ -303,11 +303,11 @@
       const entry = source.read(raw);
       if (entry !== undefined) entries.push(entry);
     }
-    if (holdMs > 0) sink.holdDeleted?.(holdMs);
+    if (holdMs > 0) handler.holdDeleted?.(holdMs);
     // Only differences are applied: an endpoint's entry states how long it stays
     // cold from receipt, so applying it again would extend that time.
     if (this.#initialized) this.#notifyHandler(this.#cache.difference(entries));
-    else sink.replaced(entries);
+    else handler.replaced(entries);
     this.#cache.load({ entries, revision }, changedAt);
     this.#initialized = true;
     this.#revision = revision;
@@ -316,19 +316,19 @@
   }
 
   #onReachable(): void {
-    const { kind, log, handler: sink, clock } = this.#opts;
-    const outageSince = this.#outageSince;
+    const { kind, log, handler, clock } = this.#opts;
+    const lostAt = this.#outageSince;
     this.#failures = 0;
     this.#outageSince = undefined;
-    if (outageSince !== undefined || this.#unconfirmed) sink.setReachable(true);
+    if (lostAt !== undefined || this.#unconfirmed) handler.setReachable(true);
     this.#unconfirmed = false;
-    if (outageSince === undefined) return;
-    const lostMs = Math.round(clock.now() - outageSince);
+    if (lostAt === undefined) return;
+    const lostMs = Math.round(clock.now() - lostAt);
     log.event("store_regained", { kind, lostMs });
   }
 
   async #recover(failed: Failure): Promise<void> {
-    const { kind, log, handler: sink, clock, random } = this.#opts;
+    const { kind, log, handler, clock, random } = this.#opts;
     if (failed.code === "history_lost") {
       this.#revision = undefined;
       log.event("store_history_lost", { kind });
@@ -337,7 +337,7 @@
     this.#failures++;
     if (this.#outageSince === undefined) {
       this.#outageSince = clock.now();
-      sink.setReachable(false);
+      handler.setReachable(false);
       log.event("store_lost", { kind, code: failed.code });
     }
     const backoffMs = Math.min(
--- a/src/watcher/resource_watcher_test.ts
+++ b/src/watcher/resource_watcher_test.ts
@@ -67,17 +67,17 @@
   const peer: { snapshot: RelayedSnapshot | undefined } = {
     snapshot: undefined,
   };
-  const sink: ResourceHandler<string> = {
+  const handler: ResourceHandler<string> = {
     replaced: (entries) => seen.push(`all ${entries.map((e) => e.name)}`),
     changed: (entry) => seen.push(`changed ${entry.name}`),
     deleted: (name) => seen.push(`deleted ${name}`),
-    setReachable: (inTouch) => seen.push(inTouch ? "in touch" : "lost"),
+    setReachable: (reachable) => seen.push(reachable ? "in touch" : "lost"),
   };
   const clock = new ManualClock();
   const resourceWatcher = new ResourceWatcher({
     kind: "things",
     source,
-    handler: sink,
+    handler,
     clock,
     random: new SeededRandom(1),
     log: new SilentLog(),
@@ -121,7 +121,7 @@
   t.deepEqual(seen, ["list", "all a", "watch 5", "list", "all b"]);
 });
 
-test("after an outage the watch resumes, and contact is notified first", async (t) => {
+test("after an outage the watch resumes, and reachability is notified first", async (t) => {
   // Entries missing after an outage may have expired, so the handler has to
   // know of the outage before it receives changes.
   const { seen, step } = watcher(
@@ -143,7 +143,7 @@
   ]);
 });
 
-test("after an outage that outlasts the history, contact is notified first too", async (t) => {
+test("after an outage that outlasts the history, reachability is notified first too", async (t) => {
   const { seen, step } = watcher(
     list(5, "a"),
     "platform_unavailable",
@@ -240,7 +240,7 @@
   t.is(resourceWatcher.changedAt, 8);
 });
 
-test("an instance that begins to watch reports contact once", async (t) => {
+test("an instance that begins to watch reports the store reachable once", async (t) => {
   // Until then it used its peers' reports of the store, which may have been that
   // it is unreachable. If that stayed, expired entries would be held although
   // the store is reachable.
