--- a/tools/standins/endpoint_server.ts
+++ b/tools/standins/endpoint_server.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in for an endpoint: takes a while over each request, and records by
- * itself what must never happen.
+ * A fake HTTP endpoint with simulated processing time. Records each request,
+ * and whether it exceeded the slots or carried the client's API key.
  *
  * @module
  */
@@ -13,17 +13,17 @@
 import type { AddressInfo } from "node:net";
 import { type Random, SeededRandom } from "../../src/core/mod.ts";
 
-/** What an endpoint is. */
+/** Configuration of a fake endpoint. */
 export interface EndpointSpec {
   readonly id: string;
   readonly service: string;
   readonly slots: number;
-  /** Time an ordinary request takes, in milliseconds. */
+  /** Mean processing time of an ordinary request, in milliseconds. */
   readonly workMs: number;
   readonly seed: number;
 }
 
-/** One request as the endpoint saw it; times in milliseconds since the epoch. */
+/** One request received by the endpoint; times in milliseconds since the epoch. */
 export interface RunRecord {
   readonly endpoint: string;
   readonly service: string;
@@ -31,20 +31,20 @@
   readonly request: string;
   readonly startedAt: number;
   endedAt: number;
-  /** More work was in flight than there are slots. */
+  /** More requests were in flight than there are slots. */
   readonly overSlots: boolean;
-  /** The caller's key came along. */
+  /** The request carried an authorization header. */
   readonly keySeen: boolean;
 }
 
-const LONG_PART = 0.02;
-const LONG_FACTOR = 5;
+const LONG_REQUEST_RATIO = 0.02;
+const LONG_REQUEST_FACTOR = 5;
 
-/** One endpoint on loopback. */
+/** A fake endpoint that listens on loopback. */
 export class EndpointServer {
   readonly spec: EndpointSpec;
   readonly runs: RunRecord[] = [];
-  /** Multiplies the time each request takes; changed to play a slow endpoint. */
+  /** Multiplies processing times; raised to simulate a slow endpoint. */
   slowness = 1;
   readonly #random: Random;
   readonly #server: Server;
@@ -56,7 +56,7 @@
     this.#server = createServer((req, res) => void this.#serve(req, res));
   }
 
-  /** Opens an endpoint on a free port. */
+  /** Listens on a free port. */
   static open(spec: EndpointSpec): Promise<EndpointServer> {
     const endpoint = new EndpointServer(spec);
     return new Promise((resolve) => {
@@ -112,15 +112,15 @@
     return run;
   }
 
-  /** Most requests are alike, a few are long; none outlasts its timeout. */
+  /** Processing time: a small share is long, and none exceeds the request's timeout. */
   #workMs(req: IncomingMessage): number {
-    const long = this.#random.next() < LONG_PART ? LONG_FACTOR : 1;
+    const long = this.#random.next() < LONG_REQUEST_RATIO ? LONG_REQUEST_FACTOR : 1;
     const spread = 0.5 + this.#random.next();
     const ms = this.spec.workMs * spread * long * this.slowness;
     return Math.min(ms, Number(req.headers["x-timeout-ms"] ?? Infinity));
   }
 
-  /** Says back what was asked, so that a caller sees whether it is its own. */
+  /** Echoes the account and request id, so that a caller can detect a foreign response. */
   #answer(req: IncomingMessage, res: ServerResponse, bytes: number): void {
     const text = JSON.stringify({
       endpoint: this.spec.id,
@@ -140,13 +140,13 @@
   return bytes;
 }
 
-/** Works for `ms`, or stops as soon as the connection is gone. */
+/** Resolves after `ms`; rejects as soon as the connection closes. */
 function workUnlessGone(res: ServerResponse, ms: number): Promise<void> {
   return new Promise((resolve, reject) => {
     const timer = setTimeout(resolve, ms);
     res.once("close", () => {
       clearTimeout(timer);
-      reject(new Error("the connection closed"));
+      reject(new Error("connection closed before the response was sent"));
     });
   });
 }
--- a/tools/standins/stand_in_world.ts
+++ b/tools/standins/stand_in_world.ts
@@ -1,5 +1,6 @@
 /**
- * A store, endpoints and callers for one instance, all on loopback.
+ * A test bed for one instance process: object store, endpoints and load
+ * generator on loopback.
  *
  * @module
  */
@@ -17,7 +18,7 @@
 import { FakeCaller } from "../../platform/testing/fake_caller.ts";
 import { InstanceProcess } from "../process_soak/instance_process.ts";
 
-/** An address of loopback that no other process takes for its world. */
+/** Loopback address derived from the process id, so that parallel runs do not clash. */
 const HOST = `127.9.${(process.pid >> 8) & 0xff}.${process.pid & 0xff}`;
 const CALLER_HOST = "shop.example";
 const ZONE = "zone-1";
@@ -25,18 +26,18 @@
 const ACCOUNTS = 80;
 const OBJECTS = 200;
 const CALLERS = 64;
-/** Objects on a page of the store's lists. */
+/** Objects per page of the store's list responses. */
 const LIST_PAGE = 50;
 const MS_PER_S = 1_000;
 
-/** What an instance runs. */
+/** The program that an instance process runs. */
 export interface Program {
   readonly program: string;
-  /** Flags of the runtime, before the program. */
+  /** Node.js flags, placed before the program. */
   readonly nodeFlags: readonly string[];
 }
 
-/** A store, endpoints and callers in this process; instances are others. */
+/** Store, endpoints and callers in this process; each instance is a child process. */
 export class StandInWorld {
   readonly #store: ObjectStoreServer;
   readonly #endpoints: readonly FakeEndpoint[];
@@ -78,7 +79,7 @@
       });
       store.write("servers", id, spec, status);
     }
-    store.write("config", "main", planOfAccounts());
+    store.write("config", "main", buildPlan());
     return new StandInWorld(
       store,
       endpoints,
@@ -86,7 +87,7 @@
     );
   }
 
-  /** Starts an instance as a process of its own. */
+  /** Starts an instance as a child process. */
   start({ program, nodeFlags }: Program): InstanceProcess {
     const instance = new InstanceProcess({
       id: "bench-1",
@@ -104,7 +105,7 @@
     return instance;
   }
 
-  /** Sends requests at even distances; gives how many were answered whole. */
+  /** Sends requests at a constant rate; returns the number of complete responses. */
   async load(
     instance: InstanceProcess,
     perS: number,
@@ -152,7 +153,7 @@
   }
 }
 
-function planOfAccounts(): Record<string, unknown> {
+function buildPlan(): Record<string, unknown> {
   return planSpec({
     version: 7,
     host: CALLER_HOST,
--- a/tools/standins/store_server.ts
+++ b/tools/standins/store_server.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in for the platform's service: the store and the instance list over
- * HTTP, kept in memory.
+ * A fake platform service: the object store and the instance list over HTTP,
+ * kept in memory, with injectable faults.
  *
  * @module
  */
@@ -16,7 +16,7 @@
 
 const MAX_BODY = "2mb";
 
-/** What `POST /faults` takes: any of the faults, the others stay as they are. */
+/** Body of `POST /faults`: the faults to change; the others stay as they are. */
 const FaultsChange = z.strictObject({
   down: z.boolean(),
   slowMs: z.number().nonnegative(),
@@ -27,9 +27,9 @@
   brokenBodies: z.boolean(),
 }).partial();
 
-/** Serves a store on loopback; `faults` may be changed while it runs. */
+/** Serves the store on loopback; `faults` may be changed at run time. */
 export class StoreServer {
-  /** What the store holds, past all faults. */
+  /** The underlying store, without injected faults. */
   readonly platform: MemoryPlatform;
   readonly #faulty: FaultyPlatform;
   readonly #listener: Listener;
@@ -48,17 +48,17 @@
     return this.#listener.url;
   }
 
-  /** How the store misbehaves. */
+  /** The faults currently injected. */
   get faults(): PlatformFaults {
     return this.#faulty.faults;
   }
 
-  /** Calls served so far, by name; a waiting watch is one. */
+  /** Number of calls so far by method name; a pending watch counts as one. */
   get calls(): ReadonlyMap<string, number> {
     return this.#faulty.calls;
   }
 
-  /** Opens the store on a free port. */
+  /** Listens on `port`, or on a free port if it is 0. */
   static async open(port = 0): Promise<StoreServer> {
     const clock = new SystemClock();
     const platform = new MemoryPlatform(clock);
@@ -174,7 +174,7 @@
   return (tag ?? "").replaceAll('"', "");
 }
 
-/** A lost answer is a connection that ends without one. */
+/** Closes the connection without a response if the outcome is unknown. */
 function sendFailure(res: Response, failure: Failure): void {
   if (failure.code === "platform_outcome_unknown") {
     res.destroy();
