--- a/tools/soak/failures_test.ts
+++ b/tools/soak/failures_test.ts
@@ -1,15 +1,14 @@
 import test from "ava";
 import { type FaultKind, soak } from "./soak.ts";
 
-// Each kind of failure alone, and pairs that have met: a process dies while
-// the store is down, a key is withdrawn while its zone is cut off, an instance
-// is paused while messages come late. What a user would notice is written with
-// each property in soak_checks.ts; here none of it may be seen, neither while
-// the fault lasts nor after it was mended.
+// Runs each kind of fault alone and in overlapping pairs, such as an instance
+// killed while the store is down, a key withdrawn during a network partition,
+// or an instance paused while messages are dropped. No property in
+// soak_checks.ts may be violated during the faults or after the repair.
 
-const STRIKE_AT = 3;
-const SECOND_AT = 12;
-const MEND_AT = 40;
+const FIRST_FAULT_STEP = 3;
+const SECOND_FAULT_STEP = 12;
+const REPAIR_STEP = 40;
 const STEPS = 70;
 
 const CASES: readonly (readonly FaultKind[])[] = [
@@ -33,9 +32,9 @@
 for (const [i, kinds] of CASES.entries()) {
   test(`${kinds.join(", then ")}`, async (t) => {
     const [first, second] = kinds;
-    const script = new Map<number, FaultKind[]>([[MEND_AT, ["mend"]]]);
-    if (first) script.set(STRIKE_AT, [first]);
-    if (second) script.set(SECOND_AT, [second]);
+    const script = new Map<number, FaultKind[]>([[REPAIR_STEP, ["mend"]]]);
+    if (first) script.set(FIRST_FAULT_STEP, [first]);
+    if (second) script.set(SECOND_FAULT_STEP, [second]);
     const result = await soak({ seed: 100 + i, steps: STEPS, script });
     t.deepEqual(result.violations, []);
     t.is(result.faults, kinds.length + 1, result.trace.join("; "));
--- a/tools/soak/inject.ts
+++ b/tools/soak/inject.ts
@@ -20,15 +20,15 @@
   readonly body: Uint8Array;
 }
 
-/** A handler's whole answer; undefined status if it gave none. */
-export interface InjectedAnswer {
+/** A handler's complete response; the status is undefined if none was sent. */
+export interface InjectedResponse {
   readonly status: number | undefined;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
 }
 
-/** A socket that takes everything and says nothing. */
-class SilentSocket extends Duplex {
+/** A socket that discards writes and never delivers data. */
+class NullSocket extends Duplex {
   override _read(): void {}
 
   override _write(_chunk: unknown, _enc: string, done: () => void): void {
@@ -40,12 +40,12 @@
   }
 }
 
-/** Gives the request to the handler and collects its answer. */
+/** Passes the request to the handler and collects its response. */
 export function inject(
   handler: RequestListener,
   request: InjectedRequest,
-): Promise<InjectedAnswer> {
-  const socket = new SilentSocket() as unknown as Socket;
+): Promise<InjectedResponse> {
+  const socket = new NullSocket() as unknown as Socket;
   const req = new IncomingMessage(socket);
   req.method = request.method;
   req.url = request.url;
@@ -57,7 +57,7 @@
   req.push(null);
   const res = new ServerResponse(req);
   const chunks: Buffer[] = [];
-  collect(res, chunks);
+  captureBody(res, chunks);
   res.assignSocket(socket);
   return new Promise((resolve) => {
     const end = (status: number | undefined) =>
@@ -75,8 +75,8 @@
   });
 }
 
-/** Keeps what is written before the response encodes it. */
-function collect(res: ServerResponse, chunks: Buffer[]): void {
+/** Captures body chunks before the response applies its transfer encoding. */
+function captureBody(res: ServerResponse, chunks: Buffer[]): void {
   const write = res.write.bind(res) as (...args: unknown[]) => boolean;
   const end = res.end.bind(res) as (...args: unknown[]) => ServerResponse;
   const keep = (chunk: unknown) => {
--- a/tools/soak/main.ts
+++ b/tools/soak/main.ts
@@ -1,11 +1,11 @@
 /**
- * `npm run soak -- --seed N --steps N`: exits 1 where a property did not hold.
+ * `npm run soak -- --seed N --steps N`: exits 1 if a property was violated.
  *
  * @module
  */
 import process from "node:process";
 import { parseArgs } from "node:util";
-import { shorten, soak } from "./soak.ts";
+import { shortenTrace, soak } from "./soak.ts";
 
 const DEFAULT_STEPS = "2000";
 
@@ -18,7 +18,7 @@
 const opts = { seed: Number(values.seed), steps: Number(values.steps) };
 const result = await soak(opts);
 if (result.violations.length > 0) {
-  const shortest = await shorten(result, opts);
+  const shortest = await shortenTrace(result, opts);
   for (const line of shortest.trace) console.log(line);
   for (const { property, detail } of shortest.violations) {
     console.log(`seed ${opts.seed}: "${property}" did not hold: ${detail}`);
--- a/tools/soak/soak.ts
+++ b/tools/soak/soak.ts
@@ -1,5 +1,6 @@
 /**
- * One long randomised run, and the search for its shortest failing beginning.
+ * One long randomised run, and the search for a smaller set of faults that
+ * still makes it fail.
  *
  * @module
  */
@@ -12,19 +13,19 @@
 import { ACCOUNTS, keyOf, ZONES } from "./soak_document.ts";
 import { type SoakNode, SoakWorld } from "./soak_world.ts";
 
-/** What a run does. */
+/** Options of a run. */
 export interface SoakOptions {
   readonly seed: number;
   readonly steps: number;
-  /** Parts of an instance handed in, to see a planted fault caught. */
+  /** Component overrides, used to check that an injected defect is detected. */
   readonly parts?: ComponentOverrides;
-  /** Kinds of fault that are left out, to shorten a trace. */
+  /** Kinds of fault to skip, to shorten a trace. */
   readonly without?: ReadonlySet<string>;
-  /** What strikes at which step, in place of what chance would bring. */
+  /** Faults by step, replacing the random schedule. */
   readonly script?: ReadonlyMap<number, readonly FaultKind[]>;
 }
 
-/** What came of it. */
+/** Result of a run. */
 export interface SoakResult {
   readonly seed: number;
   readonly steps: number;
@@ -33,19 +34,19 @@
   readonly notRun: number;
   readonly faults: number;
   readonly violations: readonly Violation[];
-  /** What was done to the fleet, in order. */
+  /** Injected faults, in order. */
   readonly trace: readonly string[];
 }
 
-const JOIN_STEPS = 80;
-const REQUESTS_A_STEP = 3;
+const WARM_UP_STEPS = 80;
+const REQUESTS_PER_STEP = 3;
 const FAULT_CHANCE = 0.03;
-const MEND_CHANCE = 0.2;
+const REPAIR_CHANCE = 0.2;
 const RETRY_CHANCE = 0.3;
-const MAX_BODY = 2_000;
-const MAX_PER_ZONE = 3;
+const MAX_BODY_BYTES = 2_000;
+const MAX_INSTANCES_PER_ZONE = 3;
 
-/** Kinds of fault, in the order in which they are tried without. */
+/** Kinds of fault, in the order in which `shortenTrace` tries to omit them. */
 export const FAULTS = [
   "kill",
   "region dies",
@@ -68,7 +69,7 @@
 /** A kind of fault. */
 export type FaultKind = typeof FAULTS[number];
 
-/** Runs until the steps are over or a property does not hold. */
+/** Runs until all steps are done or a property is violated. */
 export async function soak(opts: SoakOptions): Promise<SoakResult> {
   const run = new SoakRun(opts);
   return await run.run();
@@ -98,15 +99,15 @@
   async run(): Promise<SoakResult> {
     await this.#world.open();
     this.#checks.accepted(1);
-    for (let i = 0; i < JOIN_STEPS; i++) await this.#world.step();
+    for (let i = 0; i < WARM_UP_STEPS; i++) await this.#world.step();
     const violations: Violation[] = [];
     while (this.#step < this.#opts.steps && violations.length === 0) {
       this.#step += 1;
-      this.#strikeAt(this.#step);
-      for (let i = 0; i < REQUESTS_A_STEP; i++) this.#call();
+      this.#injectFaultsAt(this.#step);
+      for (let i = 0; i < REQUESTS_PER_STEP; i++) this.#sendRequest();
       await this.#world.step();
       this.#checks.step();
-      violations.push(...this.#checks.take());
+      violations.push(...this.#checks.takeViolations());
     }
     await this.#world.close();
     return {
@@ -125,22 +126,23 @@
     return from[this.#random.below(Math.max(1, from.length))];
   }
 
-  /** One caller's try, or its repetition of an earlier one elsewhere. */
-  #call(): void {
+  /** Sends a new request, or retries an earlier one on any running instance. */
+  #sendRequest(): void {
     const node = this.#pick(this.#world.running().filter((n) => !n.stopping));
     if (node === undefined) return;
-    const again = this.#random.next() < RETRY_CHANCE
+    const retried = this.#random.next() < RETRY_CHANCE
       ? this.#retries.shift()
       : undefined;
-    const account = again?.account ?? this.#pick(Object.keys(ACCOUNTS)) ?? "";
+    const account = retried?.account ?? this.#pick(Object.keys(ACCOUNTS)) ?? "";
     const request = `q${this.#operations++}`;
-    const writes = again !== undefined || this.#random.next() < 0.4;
+    const writes = retried !== undefined || this.#random.next() < 0.4;
     const attempt: Attempt = {
       request,
       account,
       key: keyOf(account, this.#keys.get(account) ?? 0),
-      operation: writes ? again?.operation ?? `o${request}` : undefined,
-      body: again?.body ?? (writes ? 1 + this.#random.below(MAX_BODY) : 0),
+      operation: writes ? retried?.operation ?? `o${request}` : undefined,
+      body: retried?.body ??
+        (writes ? 1 + this.#random.below(MAX_BODY_BYTES) : 0),
       node: node.name,
       status: undefined,
       outcome: undefined,
@@ -176,40 +178,40 @@
     if (writes && answer.status !== 200) this.#retries.push(attempt);
   }
 
-  #strikeAt(step: number): void {
+  #injectFaultsAt(step: number): void {
     const { script } = this.#opts;
     const kinds = script?.get(step) ?? [];
-    for (const kind of kinds) this.#strike(kind);
+    for (const kind of kinds) this.#injectFault(kind);
     if (script === undefined && this.#random.next() < FAULT_CHANCE) {
-      const mends = this.#random.next() < MEND_CHANCE;
-      this.#strike(mends ? "mend" : this.#pick(FAULTS) ?? "mend");
+      const repair = this.#random.next() < REPAIR_CHANCE;
+      this.#injectFault(repair ? "mend" : this.#pick(FAULTS) ?? "mend");
     }
   }
 
-  #strike(kind: FaultKind): void {
+  #injectFault(kind: FaultKind): void {
     if (this.#opts.without?.has(kind)) return;
-    const target = this.#apply(kind);
+    const target = this.#applyFault(kind);
     if (target === undefined) return;
     this.#faults += 1;
     this.#trace.push(`step ${this.#step}: ${kind} ${target}`);
-    this.#judgeCalm();
+    this.#updateCalmSince();
   }
 
-  #judgeCalm(): void {
+  #updateCalmSince(): void {
     const { network, nodes, endpoints, clock } = this.#world;
-    const upset = network.cuts.size > 0 || network.faults.drop > 0 ||
+    const faulty = network.cuts.size > 0 || network.faults.drop > 0 ||
       endpoints.faults.lose > 0 ||
       nodes.some((n) =>
         n.clock.paused || n.platform.faults.down > 0 ||
         n.platform.faults.stale > 0 || n.platform.faults.lost > 0
       );
-    if (upset) this.#checks.calmSince = undefined;
+    if (faulty) this.#checks.calmSince = undefined;
     else this.#checks.calmSince ??= clock.now();
   }
 
-  /** Does something to the fleet; gives what it was done to. */
-  #apply(kind: FaultKind): string | undefined {
-    if (kind === "mend") return this.#mend();
+  /** Injects a fault or repairs all of them; returns the target for the trace. */
+  #applyFault(kind: FaultKind): string | undefined {
+    if (kind === "mend") return this.#repairAll();
     const { network, nodes, endpoints } = this.#world;
     const node = this.#pick(nodes.filter((n) => !n.stopping));
     const other = this.#pick(nodes);
@@ -218,7 +220,7 @@
     switch (kind) {
       case "kill":
         this.#world.kill(node);
-        this.#refill(node.zone);
+        this.#startMissing(node.zone);
         return node.name;
       case "region dies":
         return this.#killRegion();
@@ -264,7 +266,7 @@
     }
   }
 
-  #mend(): string {
+  #repairAll(): string {
     const { network, nodes, endpoints } = this.#world;
     network.cuts.clear();
     Object.assign(network.faults, { drop: 0, repeat: 0 });
@@ -274,13 +276,13 @@
       Object.assign(n.platform.faults, { down: 0, lost: 0, stale: 0 });
     }
     for (const { zone } of ZONES) {
-      this.#refill(zone);
-      this.#refill(zone);
+      this.#startMissing(zone);
+      this.#startMissing(zone);
     }
     return "all";
   }
 
-  /** Every process of a region dies; new ones start there when all is mended. */
+  /** Kills every instance of a region; "mend" starts new ones. */
   #killRegion(): string {
     const region = this.#pick(ZONES)?.region ?? "";
     const zones = ZONES.filter((z) => z.region === region).map((z) => z.zone);
@@ -289,17 +291,17 @@
     return region;
   }
 
-  #refill(zone: string): void {
+  #startMissing(zone: string): void {
     const there = this.#world.nodes.filter((n) => n.zone === zone);
     const region = ZONES.find((z) => z.zone === zone)?.region ?? "";
     if (there.length < 2) this.#world.start(zone, region);
   }
 
-  /** A stop is planned only where the process can hear of it. */
+  /** Starts a replacement and stops the instance; a paused one cannot be stopped gracefully. */
   #stop(node: SoakNode): string | undefined {
     if (node.instance === undefined || node.clock.paused) return undefined;
-    const mates = this.#world.nodes.filter((n) => n.zone === node.zone);
-    if (mates.length >= MAX_PER_ZONE) return undefined;
+    const zonePeers = this.#world.nodes.filter((n) => n.zone === node.zone);
+    if (zonePeers.length >= MAX_INSTANCES_PER_ZONE) return undefined;
     const region = ZONES.find((z) => z.zone === node.zone)?.region ?? "";
     this.#world.start(node.zone, region);
     void this.#world.stop(node).then(() => this.#checks.stopped(node));
@@ -340,8 +342,8 @@
   }
 }
 
-/** Leaves out kinds of fault as long as the run still fails. */
-export async function shorten(failed: SoakResult, opts: SoakOptions) {
+/** Omits one kind of fault after another as long as the run still fails. */
+export async function shortenTrace(failed: SoakResult, opts: SoakOptions) {
   let best = failed;
   const without = new Set<string>();
   for (const kind of FAULTS) {
--- a/tools/soak/soak_checks.ts
+++ b/tools/soak/soak_checks.ts
@@ -1,6 +1,6 @@
 /**
- * What must always hold, checked on every step by what endpoints, callers and
- * operators themselves saw.
+ * The invariants of the soak, checked on every step against what endpoints,
+ * callers and operators observed.
  *
  * @module
  */
@@ -10,19 +10,19 @@
   ACCOUNTS,
   DEADLINE_MS,
   endpointUrl,
-  GRACE_S,
+  KEY_GRACE_S,
   LINK_BYTES_PER_S,
   SLOTS,
 } from "./soak_document.ts";
 import type { SoakWorld } from "./soak_world.ts";
 
-/** A property that did not hold. */
+/** A violated property. */
 export interface Violation {
   readonly property: string;
   readonly detail: string;
 }
 
-/** One try of a caller. */
+/** One request attempt of a caller. */
 export interface Attempt {
   readonly request: string;
   readonly account: string;
@@ -38,7 +38,7 @@
 
 const SETTLE_MS = 6_000;
 const MS_PER_S = 1_000;
-/** A link's second may hold this much more than its cap: bodies go whole. */
+/** Factor by which one second may exceed a link's cap, since a body counts at once. */
 const LINK_SLACK = 1.5;
 
 interface Bucket {
@@ -46,10 +46,10 @@
   at: number;
 }
 
-/** Keeps the records and judges them. */
+/** Records observations and checks them against the invariants. */
 export class SoakChecks {
   readonly #world: SoakWorld;
-  readonly #found: Violation[] = [];
+  readonly #violations: Violation[] = [];
   readonly #runs = new Map<string, EndpointRun[]>();
   readonly #operations = new Map<string, number>();
   readonly #attempts = new Map<string, Attempt>();
@@ -60,7 +60,7 @@
   readonly #linkBytes = new Map<string, number>();
   #generation = 0;
   #acceptedAt = 0;
-  /** Since when nothing is cut, paused or down; undefined while something is. */
+  /** Time since which no fault is active; undefined while one is. */
   calmSince: number | undefined = 0;
 
   constructor(world: SoakWorld) {
@@ -71,16 +71,16 @@
       this.#onForward(from.name, url, bytes);
   }
 
-  /** Takes what was found since the last call. */
-  take(): Violation[] {
-    return this.#found.splice(0);
+  /** Returns and clears the violations found since the last call. */
+  takeViolations(): Violation[] {
+    return this.#violations.splice(0);
   }
 
   begin(attempt: Attempt): void {
     this.#attempts.set(attempt.request, attempt);
   }
 
-  /** A caller got its answer, or was refused. */
+  /** Records the end of an attempt: a response, a refusal or a broken connection. */
   end(attempt: Attempt): void {
     attempt.ended = true;
     const ran = this.#runs.has(attempt.request);
@@ -89,14 +89,14 @@
       const runs = JSON.stringify(this.#runs.get(request));
       this.#add(
         "a refusal that says not run is true",
-        `${request} ran: ${runs}, told ${attempt.node}: ${text}`,
+        `${request} ran: ${runs}, refused by ${attempt.node}: ${text}`,
       );
     }
     if (status === 200 && outcome === undefined) {
-      const own = attempt.operation === undefined
+      const matches = attempt.operation === undefined
         ? text === `${request} ${body}`
         : text.endsWith(` ${body}`) && text.length > 0;
-      if (!own) {
+      if (!matches) {
         this.#add(
           "every caller gets its own whole answer",
           `${request} got "${text}"`,
@@ -121,7 +121,7 @@
     }
   }
 
-  /** A stop came to its end. */
+  /** Checks that a graceful stop left no attempt unfinished. */
   stopped(node: { name: string; open: number }): void {
     const cut = [...this.#attempts.values()].filter((a) =>
       a.node === node.name && !a.ended
@@ -134,7 +134,7 @@
     }
   }
 
-  /** Looks at what can be seen at any moment. */
+  /** Checks the invariants that can be evaluated at any time. */
   step(): void {
     for (const [url, n] of this.#world.endpoints.inFlight) {
       if (n > SLOTS) {
@@ -191,7 +191,7 @@
     }
   }
 
-  /** Whether all could reach all for long enough since a moment. */
+  /** Whether no fault has been active for the settling time after `since`. */
   #calmFor(now: number, since: number): boolean {
     if (this.calmSince === undefined) return false;
     return now > Math.max(this.calmSince, since) + SETTLE_MS;
@@ -214,7 +214,7 @@
     }
     this.#checkOnce(run);
     this.#checkRate(run, runs.length);
-    this.#checkLate(run, attempt);
+    this.#checkRevocations(run, attempt);
   }
 
   #checkOnce({ operation, account, endpoint }: EndpointRun): void {
@@ -227,7 +227,7 @@
     }
   }
 
-  /** Work may wait for its deadline, so as much as comes in that time is allowed. */
+  /** Requests may queue until their deadline, so the bucket also holds that time's refill. */
   #checkRate({ account, at }: EndpointRun, earlier: number): void {
     if (earlier > 0) return;
     const { ratePerS, burst } = ACCOUNTS[account] ?? { ratePerS: 0, burst: 0 };
@@ -244,14 +244,14 @@
     }
   }
 
-  #checkLate(run: EndpointRun, attempt: Attempt): void {
+  #checkRevocations(run: EndpointRun, attempt: Attempt): void {
     const drainedAt = this.#drained.get(run.endpoint);
     if (drainedAt !== undefined && this.#calmFor(run.at, drainedAt)) {
       this.#add("a leaving endpoint gets no new work", run.endpoint);
     }
     const withdrawnAt = this.#withdrawn.get(attempt.key);
     if (withdrawnAt === undefined) return;
-    const graceOver = run.at > withdrawnAt + GRACE_S * MS_PER_S + SETTLE_MS;
+    const graceOver = run.at > withdrawnAt + KEY_GRACE_S * MS_PER_S + SETTLE_MS;
     if (graceOver || this.#calmFor(run.at, withdrawnAt)) {
       this.#add("a withdrawn key stops working", attempt.key);
     }
@@ -270,7 +270,7 @@
     this.#linkBytes.set(link, (this.#linkBytes.get(link) ?? 0) + bytes);
   }
 
-  /** A share that cannot be accounted for is a fault, though it is contained. */
+  /** A suspended budget means that shares exceeded the rate: a violation, although contained. */
   #onEvent(name: string, fields: LogFields): void {
     if (name !== "budget_suspended") return;
     const detail = `${fields["account"]}: ${fields["reason"]}`;
@@ -278,7 +278,7 @@
   }
 
   #add(property: string, detail: string): void {
-    this.#found.push({ property, detail });
+    this.#violations.push({ property, detail });
   }
 }
 
--- a/tools/soak/soak_clock.ts
+++ b/tools/soak/soak_clock.ts
@@ -1,17 +1,17 @@
 /**
- * A process's clock in the soak: it differs from the others', and a pause
- * holds its timers up while time goes on.
+ * The clock of one simulated process: it has its own offset, and a pause defers
+ * its timers while the world's time advances.
  *
  * @module
  */
 import type { Clock, Timer } from "../../src/core/mod.ts";
 
-/** A clock that can be paused, and ended as a killed process is. */
+/** A clock that can be paused, or ended to simulate a killed process. */
 export class SoakClock implements Clock {
   readonly #world: Clock;
   readonly #offset: number;
   #state: "running" | "paused" | "ended" = "running";
-  #held: (() => void)[] = [];
+  #deferred: (() => void)[] = [];
 
   constructor(world: Clock, offset: number) {
     this.#world = world;
@@ -37,7 +37,7 @@
   after(ms: number, run: () => void): Timer {
     let open = true;
     const timer = this.#world.after(ms, () => {
-      this.#pass(() => {
+      this.#runOrDefer(() => {
         if (open) run();
       });
     });
@@ -49,30 +49,30 @@
     };
   }
 
-  /** Passes while the process runs; never again once it was killed. */
-  gate(): Promise<void> {
-    return new Promise((resolve) => this.#pass(resolve));
+  /** Resolves while the process runs, after a pause ends, and never after a kill. */
+  untilRunning(): Promise<void> {
+    return new Promise((resolve) => this.#runOrDefer(resolve));
   }
 
   pause(): void {
     if (this.#state === "running") this.#state = "paused";
   }
 
-  /** Goes on; `awake` looks at it before it has read anything. */
-  resume(awake: () => void = () => {}): void {
+  /** Ends a pause; calls `awake` before the deferred timers run. */
+  resume(beforeTimers: () => void = () => {}): void {
     if (this.#state !== "paused") return;
     this.#state = "running";
-    awake();
-    for (const run of this.#held.splice(0)) run();
+    beforeTimers();
+    for (const run of this.#deferred.splice(0)) run();
   }
 
   end(): void {
     this.#state = "ended";
-    this.#held = [];
+    this.#deferred = [];
   }
 
-  #pass(run: () => void): void {
+  #runOrDefer(run: () => void): void {
     if (this.#state === "running") run();
-    else if (this.#state === "paused") this.#held.push(run);
+    else if (this.#state === "paused") this.#deferred.push(run);
   }
 }
--- a/tools/soak/soak_document.ts
+++ b/tools/soak/soak_document.ts
@@ -5,7 +5,7 @@
  */
 import { sha256 } from "../../src/document/mod.ts";
 
-/** Where instances run. */
+/** Availability zones and their regions. */
 export const ZONES: readonly { zone: string; region: string }[] = [
   { zone: "ra-1", region: "ra" },
   { zone: "ra-2", region: "ra" },
@@ -19,28 +19,28 @@
   a2: { ratePerS: 20, burst: 10 },
   a3: { ratePerS: 6, burst: 6 },
 };
-/** Requests an endpoint runs at once. */
+/** Maximum concurrent requests of an endpoint. */
 export const SLOTS = 6;
-/** How long a request may take, in milliseconds. */
+/** Request deadline, in milliseconds. */
 export const DEADLINE_MS = 1_000;
-/** Link cap between regions, in bytes a second. */
+/** Bandwidth cap between two regions, in bytes per second. */
 export const LINK_BYTES_PER_S = 1_000_000;
-export const GRACE_S = 30;
-const ENDPOINTS_A_ZONE = 2;
-const BITS = 8;
-const MEGA = 1_000_000;
+export const KEY_GRACE_S = 30;
+const ENDPOINTS_PER_ZONE = 2;
+const BITS_PER_BYTE = 8;
+const BITS_PER_MBIT = 1_000_000;
 
-/** The key of an account: each withdrawal is followed by a new one. */
+/** An account's API key by number; each withdrawal is followed by the next number. */
 export function keyOf(account: string, number: number): string {
   return `key-${account}-${number}`;
 }
 
-/** Endpoints of a service; an endpoint's URL is its name. */
+/** The URL of an endpoint, derived from its name. */
 export function endpointUrl(name: string): string {
   return `http://${name}`;
 }
 
-/** All sections, to be changed by operators. */
+/** The initial document sections, edited later by the simulated operators. */
 // deno-lint-ignore no-explicit-any -- operators write any JSON
 export function documentSections(): Record<string, any> {
   const regions: Record<string, { zones: Record<string, unknown> }> = {};
@@ -48,7 +48,7 @@
     regions[region] ??= { zones: {} };
     regions[region].zones[zone] = { instances: 2 };
   }
-  const cap = LINK_BYTES_PER_S * BITS / MEGA;
+  const cap = LINK_BYTES_PER_S * BITS_PER_BYTE / BITS_PER_MBIT;
   return {
     regions: {
       regions,
@@ -59,7 +59,7 @@
     },
     accounts: {
       accounts: mapValues(ACCOUNTS, (_a, id) => ({
-        cut_off_grace_s: GRACE_S,
+        cut_off_grace_s: KEY_GRACE_S,
         keys: [{ id: "k0", sha256: sha256(keyOf(id, 0)) }],
       })),
     },
@@ -81,7 +81,7 @@
 
 function serviceOf(service: string, idempotent: boolean): unknown {
   const names = ZONES.flatMap(({ zone }) =>
-    Array.from({ length: ENDPOINTS_A_ZONE }, (_, i) => ({
+    Array.from({ length: ENDPOINTS_PER_ZONE }, (_, i) => ({
       name: `${service}-${zone}-${i}`,
       zone,
     }))
--- a/tools/soak/soak_endpoints.ts
+++ b/tools/soak/soak_endpoints.ts
@@ -1,6 +1,6 @@
 /**
- * Endpoints in the soak: they take a while, lose answers, and write down all
- * that reaches them.
+ * Simulated endpoints with processing time and lost responses. Every request
+ * that reaches one is reported to `onRun`.
  *
  * @module
  */
@@ -23,7 +23,7 @@
 import { inject } from "./inject.ts";
 import type { NetworkNode, SoakNetwork } from "./soak_network.ts";
 
-/** One run at an endpoint. */
+/** One execution of a request at an endpoint. */
 export interface EndpointRun {
   readonly endpoint: string;
   readonly account: string;
@@ -37,13 +37,13 @@
 const MAX_WORK_MS = 120;
 const CONNECT_MS = 5;
 
-/** All endpoints, by the path of their URL. */
+/** All simulated endpoints, keyed by URL. */
 export class SoakEndpoints {
   readonly inFlight: Map<string, number> = new Map();
   readonly faults = { lose: 0, probes: 0 };
-  /** Called when a run begins. */
+  /** Called when an endpoint starts a request. */
   onRun: (run: EndpointRun) => void = () => {};
-  /** Called for a body that crosses between instances. */
+  /** Called for each request forwarded between instances, with its body size. */
   onForward: (from: NetworkNode, url: string, bytes: number) => void = () => {};
   readonly #world: Clock;
   readonly #random: Random;
@@ -55,7 +55,7 @@
     this.#network = network;
   }
 
-  /** The endpoints as one instance reaches them. */
+  /** The endpoint client of one instance. */
   clientOf(from: NetworkNode): EndpointClient {
     return {
       send: (req) => this.#send(from, req),
@@ -73,7 +73,7 @@
     from: NetworkNode,
     req: EndpointRequest,
   ): Promise<Result<EndpointAnswer, Failure>> {
-    await from.clock.gate();
+    await from.clock.untilRunning();
     const body = await bytesOf(req.body);
     if (req.path.startsWith(FORWARD_PATH)) {
       return await this.#forward(from, req, body);
@@ -81,7 +81,7 @@
     return await this.#run(from, req, body);
   }
 
-  /** A request to an entry instance elsewhere. */
+  /** Forwards a request to another entry instance. */
   async #forward(
     from: NetworkNode,
     req: EndpointRequest,
@@ -110,15 +110,19 @@
         outcome: answer.error.outcome ?? "unknown",
       });
     }
-    const { status, headers: got, body: bytes } = answer.value;
-    if (status === undefined) return broken();
-    if (got["x-not-run"] === "true") {
+    const { status, headers: responseHeaders, body: bytes } = answer.value;
+    if (status === undefined) return incompleteResponse();
+    if (responseHeaders["x-not-run"] === "true") {
       return fail("endpoint_failed", "shed", { outcome: "not-run" });
     }
-    return ok({ status, headers: got, body: Readable.from([bytes]) });
+    return ok({
+      status,
+      headers: responseHeaders,
+      body: Readable.from([bytes]),
+    });
   }
 
-  /** Work runs to its end, whatever becomes of who sent it. */
+  /** Runs a request to completion, even if the sender timed out or was killed. */
   #run(
     from: NetworkNode,
     req: EndpointRequest,
@@ -139,10 +143,10 @@
     const lost = this.#random.next() < this.faults.lose;
     return new Promise((resolve) => {
       const settle = async (result: Result<EndpointAnswer, Failure>) => {
-        await from.clock.gate();
+        await from.clock.untilRunning();
         resolve(result);
       };
-      const late = from.clock.after(
+      const timeout = from.clock.after(
         req.timeoutMs,
         () =>
           resolve(fail("deadline_exceeded", "late", { outcome: "unknown" })),
@@ -151,7 +155,7 @@
         const now = this.inFlight.get(endpoint) ?? 1;
         this.inFlight.set(endpoint, now - 1);
         if (lost) return;
-        late.close();
+        timeout.close();
         const text = `${req.headers["x-request-id"]} ${body.length}`;
         void settle(ok({
           status: 200,
@@ -163,10 +167,14 @@
   }
 }
 
-function broken<T>(): Result<T, Failure> {
-  return fail("endpoint_failed", "the answer broke off", {
-    outcome: "unknown",
-  });
+function incompleteResponse<T>(): Result<T, Failure> {
+  return fail(
+    "endpoint_failed",
+    "connection closed before the response was complete",
+    {
+      outcome: "unknown",
+    },
+  );
 }
 
 async function bytesOf(
--- a/tools/soak/soak_network.ts
+++ b/tools/soak/soak_network.ts
@@ -1,6 +1,6 @@
 /**
- * Messages between instances in the soak: late, lost on the way there or back,
- * repeated, and cut.
+ * The simulated network between instances: it delays, drops and duplicates
+ * messages, and partitions pairs of instances.
  *
  * @module
  */
@@ -15,11 +15,11 @@
 import type { DocumentTransport, PeerTransport } from "../../src/peers/mod.ts";
 import type { SoakClock } from "./soak_clock.ts";
 
-/** An instance as the network sees it. */
+/** An instance as an endpoint of the simulated network. */
 export interface NetworkNode {
   readonly name: string;
   readonly clock: SoakClock;
-  /** What it answers with; undefined until its listeners are open. */
+  /** Request handlers; undefined while its listeners are closed. */
   handlers: InstanceHandlers | undefined;
 }
 
@@ -27,17 +27,17 @@
 const DEFAULT_TIMEOUT_MS = 1_000;
 const BORROW_TIMEOUT_MS = 150;
 
-/** How a call goes. */
+/** Options of a call. */
 export interface CallOptions {
   readonly timeoutMs?: number;
-  /** A request on a connection of its own, which no network repeats. */
+  /** Never duplicates the request, as on a connection of its own. */
   readonly once?: boolean;
 }
 
-/** All connections between instances. */
+/** The network between all instances. */
 export class SoakNetwork {
   readonly nodes: Map<string, NetworkNode> = new Map();
-  /** Pairs `from to` whose messages are lost. */
+  /** Partitioned directions, as `from to`; their messages are dropped. */
   readonly cuts: Set<string> = new Set();
   readonly faults = { drop: 0, repeat: 0 };
   count = 0;
@@ -49,7 +49,7 @@
     this.#random = random;
   }
 
-  /** The sending side of one instance. */
+  /** The peer and document transport of one instance. */
   transportOf(from: NetworkNode): PeerTransport & DocumentTransport {
     return {
       exchange: (url, batch) =>
@@ -60,8 +60,8 @@
         }),
       forward: (url, req, ms) =>
         this.call(from, url, (h) => h.ledger.forward(req), { timeoutMs: ms }),
-      borrow: (url, ask) =>
-        this.call(from, url, (h) => Promise.resolve(h.borrow(ask)), {
+      borrow: (url, req) =>
+        this.call(from, url, (h) => Promise.resolve(h.borrow(req)), {
           timeoutMs: BORROW_TIMEOUT_MS,
         }),
       fetchManifest: (url) =>
@@ -80,7 +80,7 @@
     };
   }
 
-  /** Calls another instance; fails as a transport does. */
+  /** Calls another instance; fails with `peer_unavailable` if it is down or the call times out. */
   call<T>(
     from: NetworkNode,
     url: string,
@@ -91,7 +91,7 @@
     const to = this.nodes.get(url);
     return new Promise((resolve) => {
       const settle = async (result: Result<T, Failure>) => {
-        await from.clock.gate();
+        await from.clock.untilRunning();
         resolve(result);
       };
       if (to === undefined || to.clock.ended || to.handlers === undefined) {
@@ -102,17 +102,17 @@
       const repeat = !once && this.#random.next() < this.faults.repeat;
       const copies = repeat ? 2 : 1;
       for (let i = 0; i < copies; i++) {
-        this.#carry(from, to, async () => {
-          await to.clock.gate();
+        this.#transmit(from, to, async () => {
+          await to.clock.untilRunning();
           if (to.handlers === undefined) return;
           const answer = await run(to.handlers);
-          this.#carry(to, from, () => void settle(ok(answer)));
+          this.#transmit(to, from, () => void settle(ok(answer)));
         });
       }
     });
   }
 
-  #carry(from: NetworkNode, to: NetworkNode, deliver: () => void): void {
+  #transmit(from: NetworkNode, to: NetworkNode, deliver: () => void): void {
     const pair = `${from.name} ${to.name}`;
     if (this.cuts.has(pair) || this.#random.next() < this.faults.drop) return;
     this.#world.after(this.#random.below(MAX_DELAY_MS), deliver);
--- a/tools/soak/soak_test.ts
+++ b/tools/soak/soak_test.ts
@@ -11,40 +11,40 @@
 const EDITS_AT = [10, 30, 50, 70, 90, 110, 130, 150];
 
 test("what must always hold does, seed 205 at 480 steps", async (t) => {
-  // A tenth of the messages between instances is lost while one stops in good
-  // order and another takes its place. The newcomer has not heard of the place
-  // that holds the leaver's records, does not ask it, and a caller that repeats
-  // its request has it run a second time, as a doubled order.
+  // A tenth of the messages between instances is lost while one instance stops
+  // gracefully and another replaces it. The replacement does not yet know which
+  // instance holds the operation records and does not query it, so that a
+  // retried request runs a second time.
   const result = await soak({ seed: 205, steps: 480 });
   t.deepEqual(result.violations, []);
 });
 
 for (const seed of [1, 2]) {
   test(`what must always hold does, seed ${seed}`, async (t) => {
-    // Instances die, pause and leave, messages and answers are lost, operators
-    // race and the store fails, in any order. Each property is judged by what
-    // callers and endpoints saw.
+    // Instances crash, pause and stop, messages and responses are lost,
+    // operators edit concurrently and the store fails, in random order. Each
+    // property is checked against what callers and endpoints observed.
     const result = await soak({ seed, steps: STEPS });
     t.deepEqual(result.violations, []);
     t.true(result.answered > 0);
   });
 }
 
-/** Uses a seat whatever the time: a pause goes unnoticed. */
+/** Uses a leased seat without checking its expiry, so that it survives a pause. */
 class UncheckedSeats extends LeasedSeats {
   override held() {
     return super.held(-Infinity);
   }
 }
 
-/** Takes whatever generation differs from the one in force. */
-class DiffersFollower extends DocumentFollower {
+/** Accepts any generation other than the current one, older ones included. */
+class AnyGenerationFollower extends DocumentFollower {
   protected override isProcessed(generation: number): boolean {
     return generation === this.generation;
   }
 }
 
-const PLANTED: readonly {
+const INJECTED_DEFECTS: readonly {
   name: string;
   steps: number;
   parts: ComponentOverrides;
@@ -61,7 +61,7 @@
   {
     name: "a generation compared by differs",
     steps: 250,
-    parts: { follower: DiffersFollower },
+    parts: { follower: AnyGenerationFollower },
     script: [
       [3, Array(8).fill("store stale")],
       ...EDITS_AT.map((step) => [step, ["race"]] as const),
@@ -77,10 +77,10 @@
   },
 ];
 
-for (const { name, steps, parts, script, property } of PLANTED) {
+for (const { name, steps, parts, script, property } of INJECTED_DEFECTS) {
   test(`the run catches ${name}`, async (t) => {
-    // The fault is handed in as a class. A check that lets it pass would let
-    // the same mistake pass in the library.
+    // The defect is injected as a subclass. A check that misses it would miss
+    // the same defect in the library.
     const { violations } = await soak({
       seed: 2,
       steps,
--- a/tools/soak/soak_world.ts
+++ b/tools/soak/soak_world.ts
@@ -1,6 +1,6 @@
 /**
- * The soak's world: real instances over fakes at every interface, one clock,
- * and operators and callers that never rest.
+ * The simulated fleet of the soak: real instances over fakes at every
+ * interface, driven by one manual clock.
  *
  * @module
  */
@@ -34,21 +34,21 @@
 import { SoakEndpoints } from "./soak_endpoints.ts";
 import { type NetworkNode, SoakNetwork } from "./soak_network.ts";
 
-/** One instance of the soak. */
+/** One instance of the simulated fleet. */
 export interface SoakNode extends NetworkNode {
   readonly zone: string;
   readonly platform: FaultyPlatform;
   instance: Instance | undefined;
   stopping: boolean;
-  /** Requests given to it that have not ended. */
+  /** Requests in flight at this instance. */
   open: number;
 }
 
 export const STEP_MS = 50;
-const TURNS = 12;
-const HOLD_MS = 20_000;
+const EVENT_LOOP_TURNS = 12;
+const SEAT_HOLD_MS = 20_000;
 
-/** Everything that runs in one soak. */
+/** Fleet, network, endpoints and store of one run. */
 export class SoakWorld {
   readonly clock: ManualClock = new ManualClock();
   readonly random: SeededRandom;
@@ -57,10 +57,10 @@
   readonly network: SoakNetwork;
   readonly endpoints: SoakEndpoints;
   readonly nodes: SoakNode[] = [];
-  /** Sections as the operators last wrote them. */
+  /** Document sections as last written by the operators. */
   readonly sections = documentSections();
   readonly #parts: ComponentOverrides;
-  #born = 0;
+  #instancesStarted = 0;
 
   constructor(seed: number, parts: ComponentOverrides = {}) {
     this.random = new SeededRandom(seed);
@@ -74,7 +74,7 @@
     this.#parts = { seats: ShortHoldSeats, ...parts };
   }
 
-  /** Publishes the document and starts two instances a zone. */
+  /** Publishes the document and starts two instances per zone. */
   async open(): Promise<void> {
     await this.publish(...Object.keys(this.sections));
     for (const { zone, region } of ZONES) {
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Accepts the named sections as they now stand; gives the generation. */
+  /** Applies the named sections; returns the generation, or undefined on failure. */
   async publish(...names: string[]): Promise<number | undefined> {
     const sections = names.map((n) =>
       [n as SectionName, structuredClone(this.sections[n])] as const
@@ -97,7 +97,7 @@
 
   /** Starts an instance in a zone. */
   start(zone: string, region: string): SoakNode {
-    const name = `${zone}-${++this.#born}`;
+    const name = `${zone}-${++this.#instancesStarted}`;
     const clock = new SoakClock(this.clock, this.random.below(1_000_000));
     const node: SoakNode = {
       name,
@@ -115,39 +115,39 @@
     return node;
   }
 
-  /** Ends a process without a word. */
+  /** Kills a process without a graceful stop. */
   kill(node: SoakNode): void {
     node.clock.end();
     this.#remove(node);
   }
 
-  /** Stops an instance in good order. */
+  /** Stops an instance gracefully. */
   async stop(node: SoakNode): Promise<void> {
     node.stopping = true;
     await node.instance?.stop();
     this.#remove(node);
   }
 
-  /** Instances that run, are not paused and have started. */
+  /** Instances that have started and are neither paused nor killed. */
   running(): SoakNode[] {
     return this.nodes.filter((n) =>
       n.instance !== undefined && !n.clock.paused && !n.clock.ended
     );
   }
 
-  /** Lets one step of time pass. */
+  /** Advances the clock by one step and lets pending work run. */
   async step(): Promise<void> {
     this.clock.advance(STEP_MS);
-    for (let i = 0; i < TURNS; i++) await setImmediate();
+    for (let i = 0; i < EVENT_LOOP_TURNS; i++) await setImmediate();
   }
 
-  /** Ends all that runs. */
+  /** Ends all processes and closes the store. */
   async close(): Promise<void> {
     for (const node of this.nodes) node.clock.end();
     await this.store.close();
   }
 
-  /** Told of each log event of every instance. */
+  /** Called for each log event of any instance. */
   onEvent: (name: string, fields: LogFields) => void = () => {};
 
   async #start(node: SoakNode, region: string): Promise<void> {
@@ -177,14 +177,17 @@
   }
 }
 
-/** An hour's hold would leave a zone whose instances all died dark to the end. */
+/** Shortens the seat hold: the default of an hour would leave a zone whose instances all crashed without seats until the end. */
 class ShortHoldSeats extends LeasedSeats {
   constructor(deps: LeasedSeatsDeps) {
-    super({ ...deps, timing: { ...DEFAULT_SEAT_TIMING, holdMs: HOLD_MS } });
+    super({
+      ...deps,
+      timing: { ...DEFAULT_SEAT_TIMING, holdMs: SEAT_HOLD_MS },
+    });
   }
 }
 
-/** Listeners without sockets: the node's name is its address. */
+/** Listeners without sockets; the node's name is its address. */
 class SoakListeners implements InstanceListeners {
   readonly #node: SoakNode;
 
@@ -215,7 +218,7 @@
 
   leave(): void {}
 
-  /** Callers were told; what they sent has to end. */
+  /** Waits until all requests in flight at this instance have ended. */
   async drain(): Promise<void> {
     while (this.#node.open > 0) await sleep(this.#node.clock, STEP_MS);
   }
@@ -226,16 +229,16 @@
   }
 }
 
-/** Hands events on instead of writing them. */
+/** Passes log events to a callback instead of writing them. */
 class EventLog implements Log {
-  readonly #take: (name: string, fields: LogFields) => void;
+  readonly #onEvent: (name: string, fields: LogFields) => void;
 
-  constructor(take: (name: string, fields: LogFields) => void) {
-    this.#take = take;
+  constructor(onEvent: (name: string, fields: LogFields) => void) {
+    this.#onEvent = onEvent;
   }
 
   event(name: string, fields: LogFields = {}): void {
-    this.#take(name, fields);
+    this.#onEvent(name, fields);
   }
 
   child(): Log {
