--- a/tools/process_soak/struck_world.ts
+++ b/tools/process_soak/fault_targets.ts
@@ -1,5 +1,5 @@
 /**
- * What faults strike: the parts of a run, and what they can do with them.
+ * The targets of fault injection and the operations on them.
  *
  * @module
  */
@@ -7,34 +7,34 @@
 import type { ObjectStoreServer } from "../../platform/testing/object_store_server.ts";
 import type { Random } from "../../src/core/mod.ts";
 import type { InstanceProcess } from "./instance_process.ts";
-import type { Promises } from "./promises.ts";
+import type { PropertyChecker } from "./property_checker.ts";
 import type { SoakOperators } from "./soak_operators.ts";
 import type { TcpProxy } from "./tcp_proxy.ts";
 
-/** An endpoint with the link before it. */
+/** An endpoint and the proxy in front of it. */
 export interface SoakEndpoint {
-  readonly stand: FakeEndpoint;
+  readonly fake: FakeEndpoint;
   readonly proxy: TcpProxy;
   disturbedAt: number;
   draining: boolean;
 }
 
-/** A run as faults see it. */
-export interface StruckWorld {
+/** The interface of a run towards fault injection. */
+export interface FaultTargets {
   readonly random: Random;
   readonly instances: readonly InstanceProcess[];
-  /** The way of each instance to the store, in the same order. */
+  /** The proxy from each instance to the store, in the order of `instances`. */
   readonly storeLinks: readonly TcpProxy[];
   readonly endpoints: readonly SoakEndpoint[];
   readonly store: ObjectStoreServer;
   readonly operators: SoakOperators;
-  readonly promises: Promises;
-  /** Until when the store is disturbed, in milliseconds since the epoch. */
+  readonly checker: PropertyChecker;
+  /** End of the latest store fault, in milliseconds since the epoch. */
   storeDisturbedAt: number;
-  /** Any one of these; undefined of none. */
+  /** A random element; undefined if there is none. */
   pick<T>(from: readonly T[]): T | undefined;
-  /** Starts an endpoint; on a port that another had, if one is given. */
+  /** Starts an endpoint on the given port, or on a free one. */
   addEndpoint(service: string, port?: number): Promise<SoakEndpoint>;
-  /** Writes an endpoint's entry as it now is. */
+  /** Writes an endpoint's current entry to the store. */
   register(endpoint: SoakEndpoint): void;
 }
--- a/tools/process_soak/faults.ts
+++ b/tools/process_soak/faults.ts
@@ -1,13 +1,14 @@
 /**
- * What strikes the processes, their links, the store and the endpoints. Faults
- * come in series and overlap; each but a crash mends by itself.
+ * Fault injection into the processes, their links, the store and the endpoints.
+ * Faults may overlap. Timed faults end by themselves, and a killed instance is
+ * restarted; a crashed endpoint stays down.
  *
  * @module
  */
 import { KINDS } from "../../platform/names.ts";
 import type { StoreFaults } from "../../platform/testing/object_store_server.ts";
 import type { EndpointFaults } from "../../platform/testing/fake_endpoint.ts";
-import type { SoakEndpoint, StruckWorld } from "./struck_world.ts";
+import type { FaultTargets, SoakEndpoint } from "./fault_targets.ts";
 import type { LinkMode } from "./tcp_proxy.ts";
 
 /** Kinds of fault. */
@@ -34,25 +35,25 @@
 /** A kind of fault. */
 export type FaultName = typeof FAULTS[number];
 
-const SHORTEST_MS = 300;
-const LONGEST_MS = 3_000;
-/** Between two stops in turn: a restart and a bit. */
-const TURN_MS = 1_500;
-/** How long an endpoint that leaves serves on after it said so. */
-const LEAVING_MS = 3_500;
-const FEWEST_ENDPOINTS = 3;
-/** How long an endpoint in need names a limit, and the lowest and highest. */
-const NEED_MS = 9_000;
-const LEAST_LIMIT_PER_S = 2;
-const LIMITS_PER_S = 5;
+const MIN_FAULT_MS = 300;
+const MAX_FAULT_MS = 3_000;
+/** Interval of a rolling restart: somewhat longer than one restart. */
+const ROLLING_STOP_INTERVAL_MS = 1_500;
+/** Time from an endpoint's drain to the removal of its entry. */
+const DRAIN_MS = 3_500;
+const MIN_ENDPOINTS = 3;
+/** Duration of an announced rate limit; the limit is the least plus 0 to LIMITS_PER_S - 1. */
+const LIMIT_DURATION_MS = 9_000;
+const MIN_LIMIT_PER_S = 2;
+const LIMIT_SPREAD_PER_S = 5;
 
-/** Strikes; gives what was struck. */
-export function strike(
-  world: StruckWorld,
+/** Injects a fault; returns its target for the trace. */
+export function injectFault(
+  world: FaultTargets,
   name: FaultName,
 ): string | Promise<string> {
   const instance = world.pick(world.instances)!;
-  const forMs = SHORTEST_MS + world.random.below(LONGEST_MS - SHORTEST_MS);
+  const forMs = MIN_FAULT_MS + world.random.below(MAX_FAULT_MS - MIN_FAULT_MS);
   switch (name) {
     case "kill":
       instance.kill();
@@ -65,34 +66,34 @@
       return instance.opts.id;
     case "stop in turn":
       world.instances.forEach((each, i) => {
-        setTimeout(() => each.stop(), i * TURN_MS);
+        setTimeout(() => each.stop(), i * ROLLING_STOP_INTERVAL_MS);
       });
       return "all";
     case "freeze":
       instance.freeze(forMs);
       return `${instance.opts.id} for ${forMs} ms`;
     case "store link":
-      return strikeStoreLink(world, forMs);
+      return injectStoreLinkFault(world, forMs);
     case "store down":
-      return strikeStore(world, { status: 503 }, forMs);
+      return injectStoreFault(world, { status: 503 }, forMs);
     case "store silent":
-      return strikeStore(world, { silent: true }, forMs);
+      return injectStoreFault(world, { silent: true }, forMs);
     case "store loses answers":
-      return strikeStore(world, { loseAnswers: true }, forMs);
+      return injectStoreFault(world, { loseAnswers: true }, forMs);
     case "store forgets":
       world.storeDisturbedAt = Date.now();
       world.store.dropHistory();
       return "its history";
     case "endpoint crash":
-      return crash(world);
+      return crashEndpoint(world);
     case "endpoint drain":
-      return drain(world);
+      return drainEndpoint(world);
     case "endpoint answers":
-      return strikeAnswers(world, forMs);
+      return injectResponseFault(world, forMs);
     case "endpoint link":
-      return strikeEndpointLink(world, forMs);
+      return injectEndpointLinkFault(world, forMs);
     case "endpoint in need":
-      return limit(world);
+      return announceLimit(world);
     case "plan":
       return world.operators.newPlan();
     case "withdraw":
@@ -100,23 +101,23 @@
   }
 }
 
-/** It says in its answers how many requests it takes from all instances. */
-function limit(world: StruckWorld): string {
-  const endpoint = world.pick(serving(world));
+/** Makes an endpoint announce, in its responses, a rate limit for the whole fleet. */
+function announceLimit(world: FaultTargets): string {
+  const endpoint = world.pick(servingEndpoints(world));
   if (endpoint === undefined) return "none";
-  const { stand } = endpoint;
-  const { id } = stand.opts;
-  if (stand.limitPerS !== undefined) return `${id} has one`;
-  stand.limitPerS = LEAST_LIMIT_PER_S + world.random.below(LIMITS_PER_S);
-  world.promises.limited(id, stand.limitPerS);
+  const { fake } = endpoint;
+  const { id } = fake.opts;
+  if (fake.limitPerS !== undefined) return `${id} has one`;
+  fake.limitPerS = MIN_LIMIT_PER_S + world.random.below(LIMIT_SPREAD_PER_S);
+  world.checker.limited(id, fake.limitPerS);
   setTimeout(() => {
-    stand.limitPerS = undefined;
-    world.promises.limited(id, undefined);
-  }, NEED_MS);
-  return `${id} takes ${stand.limitPerS} a second for ${NEED_MS} ms`;
+    fake.limitPerS = undefined;
+    world.checker.limited(id, undefined);
+  }, LIMIT_DURATION_MS);
+  return `${id} takes ${fake.limitPerS} a second for ${LIMIT_DURATION_MS} ms`;
 }
 
-function linkMode(world: StruckWorld): LinkMode {
+function randomLinkMode(world: FaultTargets): LinkMode {
   return world.pick<LinkMode>([
     { kind: "delay", ms: 200 },
     { kind: "reset" },
@@ -125,18 +126,18 @@
   ]) ?? { kind: "reset" };
 }
 
-function strikeStoreLink(world: StruckWorld, forMs: number): string {
+function injectStoreLinkFault(world: FaultTargets, forMs: number): string {
   const i = world.random.below(world.instances.length);
   const [link, instance] = [world.storeLinks[i]!, world.instances[i]!];
-  const mode = linkMode(world);
-  instance.disturbed(Date.now() + forMs);
+  const mode = randomLinkMode(world);
+  instance.markDisturbedUntil(Date.now() + forMs);
   link.setMode(mode);
   setTimeout(() => link.setMode({ kind: "open" }), forMs);
   return `${instance.opts.id} ${mode.kind} for ${forMs} ms`;
 }
 
-function strikeStore(
-  world: StruckWorld,
+function injectStoreFault(
+  world: FaultTargets,
   faults: StoreFaults,
   forMs: number,
 ): string {
@@ -150,67 +151,67 @@
   return `for ${forMs} ms`;
 }
 
-function serving(world: StruckWorld): SoakEndpoint[] {
+function servingEndpoints(world: FaultTargets): SoakEndpoint[] {
   return world.endpoints.filter((e) => !e.draining);
 }
 
-/** One to spare of a service that has enough of them. */
-function spare(world: StruckWorld): SoakEndpoint | undefined {
-  const all = serving(world);
-  const enough = all.filter(({ stand }) => {
-    const { service } = stand.opts;
-    const of = all.filter((e) => e.stand.opts.service === service);
-    return of.length > FEWEST_ENDPOINTS;
+/** Picks an endpoint of a service that has more than the minimum. */
+function pickSpareEndpoint(world: FaultTargets): SoakEndpoint | undefined {
+  const all = servingEndpoints(world);
+  const enough = all.filter(({ fake }) => {
+    const { service } = fake.opts;
+    const of = all.filter((e) => e.fake.opts.service === service);
+    return of.length > MIN_ENDPOINTS;
   });
   return world.pick(enough);
 }
 
-/** It ends without a word; another service's may get its address. */
-async function crash(world: StruckWorld): Promise<string> {
-  const endpoint = spare(world);
+/** Crashes an endpoint; a new one of the other service reuses its port if it can. */
+async function crashEndpoint(world: FaultTargets): Promise<string> {
+  const endpoint = pickSpareEndpoint(world);
   if (endpoint === undefined) return "none to spare";
-  const { stand } = endpoint;
-  const { id, service } = stand.opts;
-  const { port } = stand;
+  const { fake } = endpoint;
+  const { id, service } = fake.opts;
+  const { port } = fake;
   endpoint.disturbedAt = Infinity;
   endpoint.draining = true;
-  await stand.close();
-  setTimeout(() => world.store.remove(KINDS.endpoints, id), LONGEST_MS);
+  await fake.close();
+  setTimeout(() => world.store.remove(KINDS.endpoints, id), MAX_FAULT_MS);
   const other = service === "reads" ? "writes" : "reads";
   await world.addEndpoint(other, port).catch(() => world.addEndpoint(other));
   return `${id}, its port to ${other}`;
 }
 
-/** It says that it leaves, serves on for a while, and ends. */
-async function drain(world: StruckWorld): Promise<string> {
-  const endpoint = spare(world);
+/** Marks an endpoint as draining, adds a replacement, and later removes its entry. */
+async function drainEndpoint(world: FaultTargets): Promise<string> {
+  const endpoint = pickSpareEndpoint(world);
   if (endpoint === undefined) return "none to spare";
   endpoint.draining = true;
   world.register(endpoint);
-  const { id, service } = endpoint.stand.opts;
-  setTimeout(() => world.store.remove(KINDS.endpoints, id), LEAVING_MS);
+  const { id, service } = endpoint.fake.opts;
+  setTimeout(() => world.store.remove(KINDS.endpoints, id), DRAIN_MS);
   await world.addEndpoint(service);
   return id;
 }
 
-function strikeAnswers(world: StruckWorld, forMs: number): string {
-  const endpoint = world.pick(serving(world));
+function injectResponseFault(world: FaultTargets, forMs: number): string {
+  const endpoint = world.pick(servingEndpoints(world));
   if (endpoint === undefined) return "none";
   const fault = world.pick<keyof EndpointFaults>(
     ["lose", "cut", "extra", "foreign"],
   ) ?? "lose";
   endpoint.disturbedAt = Date.now() + forMs;
-  endpoint.stand.faults[fault] = 0.3;
-  setTimeout(() => endpoint.stand.faults[fault] = 0, forMs);
-  return `${endpoint.stand.opts.id} ${fault} for ${forMs} ms`;
+  endpoint.fake.faults[fault] = 0.3;
+  setTimeout(() => endpoint.fake.faults[fault] = 0, forMs);
+  return `${endpoint.fake.opts.id} ${fault} for ${forMs} ms`;
 }
 
-function strikeEndpointLink(world: StruckWorld, forMs: number): string {
-  const endpoint = world.pick(serving(world));
+function injectEndpointLinkFault(world: FaultTargets, forMs: number): string {
+  const endpoint = world.pick(servingEndpoints(world));
   if (endpoint === undefined) return "none";
-  const mode = linkMode(world);
+  const mode = randomLinkMode(world);
   endpoint.disturbedAt = Date.now() + forMs;
   endpoint.proxy.setMode(mode);
   setTimeout(() => endpoint.proxy.setMode({ kind: "open" }), forMs);
-  return `${endpoint.stand.opts.id} ${mode.kind} for ${forMs} ms`;
+  return `${endpoint.fake.opts.id} ${mode.kind} for ${forMs} ms`;
 }
--- a/tools/process_soak/instance_process.ts
+++ b/tools/process_soak/instance_process.ts
@@ -1,5 +1,5 @@
 /**
- * One instance as a process of its own, started again when it ends.
+ * An instance as a child process, restarted when it exits.
  *
  * @module
  */
@@ -8,19 +8,19 @@
 import { join } from "node:path";
 import process from "node:process";
 
-/** What an instance is started with. */
+/** Options of an instance process. */
 export interface InstanceProcessOptions {
   readonly id: string;
   readonly zone: string;
   readonly region: string;
   readonly zones: Readonly<Record<string, string>>;
-  /** An address of loopback that no other instance has. */
+  /** A loopback address that no other instance uses. */
   readonly host: string;
   readonly storePort: number;
   readonly program: string;
   readonly dir: string;
   readonly graceS: number;
-  /** Flags of the runtime, before the program. */
+  /** Node.js flags, placed before the program. */
   readonly nodeFlags?: readonly string[];
 }
 
@@ -31,14 +31,14 @@
 const INTERNAL_PORT = 17_460;
 const MS_PER_S = 1_000;
 
-/** A process, and when it was last disturbed. */
+/** A supervised instance process that tracks when it was last disturbed. */
 export class InstanceProcess {
   readonly opts: InstanceProcessOptions;
   readonly logFile: string;
-  /** Names this start of the process. */
+  /** Incarnation number: the count of starts so far. */
   life = 0;
   disturbedAt = 0;
-  /** When SIGTERM was last sent to this start; undefined if not. */
+  /** When this incarnation first received SIGTERM; undefined if it did not, or was killed or frozen since. */
   stoppingSince: number | undefined;
   #child: ChildProcess | undefined;
   #frozen = false;
@@ -47,7 +47,7 @@
   constructor(opts: InstanceProcessOptions) {
     this.opts = opts;
     this.logFile = join(opts.dir, `${opts.id}.log`);
-    writeFileSync(join(opts.dir, `${opts.id}.toml`), settingsOf(opts));
+    writeFileSync(join(opts.dir, `${opts.id}.toml`), buildSettings(opts));
   }
 
   get callerAddress(): string {
@@ -63,13 +63,13 @@
     return this.#child !== undefined && !this.#frozen;
   }
 
-  /** Starts it, and again each time that it ends. */
+  /** Starts the process, and restarts it on each exit. */
   start(): void {
     if (this.#closed) return;
     const { id, dir, program } = this.opts;
     this.life++;
     this.stoppingSince = undefined;
-    this.#touch();
+    this.#markDisturbed();
     const flags = this.opts.nodeFlags ?? [];
     const child = spawn(process.execPath, [...flags, program], {
       env: { ...process.env, MAGNOLIAHOOK_SETTINGS: join(dir, `${id}.toml`) },
@@ -80,44 +80,44 @@
     child.stderr?.pipe(log, { end: false });
     this.#child = child;
     child.once("exit", () => {
-      this.#touch();
+      this.#markDisturbed();
       this.#child = undefined;
       this.#frozen = false;
       setTimeout(() => this.start(), RESTART_MS);
     });
   }
 
-  /** Whether it says that it takes callers. */
+  /** Whether its readiness probe succeeds. */
   async ready(): Promise<boolean> {
     try {
       const url = `http://${this.opts.host}:${READY_PORT}/readiness`;
       return (await fetch(url)).status === 200;
     } catch {
-      // It is not up yet.
+      // The listener is not open yet.
       return false;
     }
   }
 
-  /** Sends the process a signal that neither ends nor stops it. */
+  /** Sends a signal that neither terminates nor stops the process. */
   signal(name: NodeJS.Signals): void {
     this.#child?.kill(name);
   }
 
   kill(): void {
-    this.#touch();
-    // A stop that ends in a kill promises nothing.
+    this.#markDisturbed();
+    // A graceful stop that ends in SIGKILL gives no guarantee.
     this.stoppingSince = undefined;
     this.#child?.kill("SIGKILL");
   }
 
   /**
-   * Stops it in good order, and by force once its time is over. Told again, it
-   * is sent the signal again.
+   * Stops the process gracefully, with SIGKILL after the grace period. A
+   * repeated call sends SIGTERM again.
    */
   stop(): void {
     const child = this.#child;
     if (child === undefined) return;
-    this.#touch();
+    this.#markDisturbed();
     if (this.stoppingSince !== undefined) return void child.kill("SIGTERM");
     this.stoppingSince = Date.now();
     child.kill("SIGTERM");
@@ -132,21 +132,21 @@
     if (child === undefined || this.#frozen) return;
     this.#frozen = true;
     this.stoppingSince = undefined;
-    this.#touch();
+    this.#markDisturbed();
     child.kill("SIGSTOP");
     setTimeout(() => {
       child.kill("SIGCONT");
       if (this.#child === child) this.#frozen = false;
-      this.#touch();
+      this.#markDisturbed();
     }, forMs);
   }
 
-  /** Its links are disturbed until then. */
-  disturbed(untilMs: number): void {
+  /** Marks the instance as disturbed until a moment. */
+  markDisturbedUntil(untilMs: number): void {
     this.disturbedAt = Math.max(this.disturbedAt, untilMs);
   }
 
-  /** Ends it for good. */
+  /** Kills the process without a restart. */
   close(): Promise<void> {
     this.#closed = true;
     const child = this.#child;
@@ -158,12 +158,12 @@
     });
   }
 
-  #touch(): void {
-    this.disturbed(Date.now());
+  #markDisturbed(): void {
+    this.markDisturbedUntil(Date.now());
   }
 }
 
-function settingsOf(opts: InstanceProcessOptions): string {
+function buildSettings(opts: InstanceProcessOptions): string {
   const { id, zone, region, zones, host, storePort, graceS } = opts;
   const lines = Object.entries(zones).map(([z, r]) => `"${z}" = "${r}"`);
   return `
--- a/tools/process_soak/planted_fault.ts
+++ b/tools/process_soak/planted_fault.ts
@@ -1,20 +1,22 @@
 /**
- * The program with a mistake in it, to see that the soak finds it.
+ * Builds the program with a deliberate defect, to check that the soak detects it.
  *
  * @module
  */
 import { readFile } from "node:fs/promises";
 import type { Plugin } from "esbuild";
 
-/** A mistake: a text of one source file, and what stands there instead. */
-export interface PlantedFault {
+/** A source mutation: a text in one source file, and its replacement. */
+export interface SourceMutation {
   readonly file: string;
   readonly text: string;
-  readonly instead: string;
+  readonly replacement: string;
 }
 
-/** Replaces the text while the program is bundled; fails if it is not there. */
-export function planted({ file, text, instead }: PlantedFault): Plugin {
+/** Applies the mutation during bundling; fails if the file lacks the text. */
+export function mutateSource(
+  { file, text, replacement: instead }: SourceMutation,
+): Plugin {
   return {
     name: "planted",
     setup(setup) {
--- a/tools/process_soak/process_soak.ts
+++ b/tools/process_soak/process_soak.ts
@@ -1,7 +1,7 @@
 /**
- * A run of the real program as several processes on loopback, with a store and
- * endpoints of this repository, callers that never rest, and faults from
- * outside: signals, links and what the store and the endpoints do.
+ * Runs the real program as several processes on loopback, with a fake store,
+ * fake endpoints and constant load, and injects faults from outside: signals,
+ * link failures, and store and endpoint failures.
  *
  * @module
  */
@@ -14,15 +14,15 @@
 import { ObjectStoreServer } from "../../platform/testing/object_store_server.ts";
 import { endpointEntry } from "../../platform/testing/plan_objects.ts";
 import { SeededRandom } from "../../src/core/mod.ts";
-import { type FaultName, FAULTS, strike } from "./faults.ts";
+import { type FaultName, FAULTS, injectFault } from "./faults.ts";
 import { InstanceProcess } from "./instance_process.ts";
-import { Promises, type Violation } from "./promises.ts";
+import { PropertyChecker, type Violation } from "./property_checker.ts";
 import { SoakCallers } from "./soak_callers.ts";
 import { SERVICES, SoakOperators } from "./soak_operators.ts";
-import type { SoakEndpoint, StruckWorld } from "./struck_world.ts";
+import type { FaultTargets, SoakEndpoint } from "./fault_targets.ts";
 import { TcpProxy } from "./tcp_proxy.ts";
 
-/** What a run does. */
+/** Options of a run. */
 export interface ProcessSoakOptions {
   readonly seed: number;
   readonly seconds: number;
@@ -30,11 +30,11 @@
   readonly perZone: number;
   /** The program that instances run. */
   readonly program: string;
-  /** Only these faults; all if undefined. */
+  /** Kinds of fault to inject; all if undefined. */
   readonly only?: readonly FaultName[];
 }
 
-/** What came of it. */
+/** Result of a run. */
 export interface ProcessSoakResult {
   readonly seed: number;
   readonly seconds: number;
@@ -42,32 +42,32 @@
   readonly requests: number;
   readonly faults: number;
   readonly violations: readonly Violation[];
-  /** What was done, in order. */
+  /** Injected faults, in order. */
   readonly trace: readonly string[];
-  /** Lines of all logs on the first violation's request. */
+  /** Lines of all instance logs that contain the first violation's request id. */
   readonly lines: readonly string[];
 }
 
 const ZONES = { "a1": "east", "a2": "east", "b1": "west" };
-const ENDPOINTS_A_SERVICE = 4;
+const ENDPOINTS_PER_SERVICE = 4;
 const SLOTS = 8;
 const WORK_MS = 40;
 const GRACE_S = 4;
-const FAULT_EVERY_MS = 900;
-/** At the end all is mended; then most requests are to be served again. */
-const MEND_MS = 6_000;
-const LAST_MS = 2_000;
-const LEAST_SERVED = 0.8;
-const START_LIMIT_MS = 15_000;
+const FAULT_INTERVAL_MS = 900;
+/** Recovery time after the last fault, then the window in which most requests must succeed. */
+const RECOVERY_MS = 6_000;
+const CHECK_WINDOW_MS = 2_000;
+const MIN_SUCCESS_RATIO = 0.8;
+const START_TIMEOUT_MS = 15_000;
 
-/** The world of one run. */
-export class ProcessSoak implements StruckWorld {
+/** One run, with its processes, store, endpoints and callers. */
+export class ProcessSoak implements FaultTargets {
   readonly random: SeededRandom;
   readonly instances: InstanceProcess[] = [];
   readonly storeLinks: TcpProxy[] = [];
   readonly endpoints: SoakEndpoint[] = [];
   readonly trace: string[] = [];
-  readonly promises: Promises;
+  readonly checker: PropertyChecker;
   store!: ObjectStoreServer;
   operators!: SoakOperators;
   storeDisturbedAt = 0;
@@ -80,12 +80,12 @@
   constructor(opts: ProcessSoakOptions) {
     this.#opts = opts;
     this.random = new SeededRandom(opts.seed);
-    this.promises = new Promises({
+    this.checker = new PropertyChecker({
       instance: (id) =>
         this.instances.find((i) => i.opts.id === id)?.disturbedAt ?? 0,
       store: () => this.storeDisturbedAt,
       endpoint: (id) =>
-        this.endpoints.find((e) => e.stand.opts.id === id)?.disturbedAt ??
+        this.endpoints.find((e) => e.fake.opts.id === id)?.disturbedAt ??
           Infinity,
       stopping: (id, life) => {
         const instance = this.instances.find((i) => i.opts.id === id);
@@ -94,11 +94,11 @@
     });
   }
 
-  /** Plays the run and ends all that it started. */
+  /** Executes the run and shuts down everything that it started. */
   async run(): Promise<ProcessSoakResult> {
     try {
       await this.#open();
-      const faults = await this.#play();
+      const faults = await this.#injectFaults();
       return await this.#result(faults);
     } finally {
       await this.#close();
@@ -112,25 +112,25 @@
   async addEndpoint(service: string, port = 0): Promise<SoakEndpoint> {
     const zone = this.pick(Object.keys(ZONES)) ?? "a1";
     const id = `e${++this.#endpointNumber}`;
-    const stand = await FakeEndpoint.listen({
+    const fake = await FakeEndpoint.listen({
       id,
       service,
       zone,
       slots: SLOTS,
       workMs: WORK_MS,
       random: () => this.random.next(),
-      onRun: (run) => this.promises.ran(run),
-      onArrival: (request) => this.promises.arrived(id, request),
+      onRun: (run) => this.checker.requestStarted(run),
+      onArrival: (request) => this.checker.requestArrived(id, request),
     }, port);
-    const proxy = await TcpProxy.listen(stand.port);
-    const endpoint = { stand, proxy, disturbedAt: 0, draining: false };
+    const proxy = await TcpProxy.listen(fake.port);
+    const endpoint = { fake, proxy, disturbedAt: 0, draining: false };
     this.endpoints.push(endpoint);
     this.register(endpoint);
     return endpoint;
   }
 
-  register({ stand, proxy, draining }: SoakEndpoint): void {
-    const { id, service, zone, slots } = stand.opts;
+  register({ fake, proxy, draining }: SoakEndpoint): void {
+    const { id, service, zone, slots } = fake.opts;
     const { spec, status } = endpointEntry({
       service,
       address: `127.0.0.1:${proxy.port}`,
@@ -140,7 +140,7 @@
       bornAt: this.#began,
     });
     this.store.write(KINDS.endpoints, id, spec, status);
-    if (draining) this.promises.drainAcknowledged(id);
+    if (draining) this.checker.drainAcknowledged(id);
   }
 
   async #open(): Promise<void> {
@@ -148,13 +148,13 @@
     this.store = await ObjectStoreServer.listen();
     this.operators = new SoakOperators(this);
     for (const service of SERVICES) {
-      for (let i = 0; i < ENDPOINTS_A_SERVICE; i++) {
+      for (let i = 0; i < ENDPOINTS_PER_SERVICE; i++) {
         await this.addEndpoint(service);
       }
     }
     this.operators.publish();
     await this.#startInstances();
-    await this.#allReady();
+    await this.#waitUntilReady();
     this.#callers = new SoakCallers(this);
     this.#callers.start();
   }
@@ -183,43 +183,44 @@
     }
   }
 
-  async #allReady(): Promise<void> {
-    const until = Date.now() + START_LIMIT_MS;
+  async #waitUntilReady(): Promise<void> {
+    const until = Date.now() + START_TIMEOUT_MS;
     while (Date.now() < until) {
       const ready = await Promise.all(this.instances.map((i) => i.ready()));
       if (ready.every((r) => r)) return;
       await sleep(100);
     }
-    throw new Error(`not all instances are ready after ${START_LIMIT_MS} ms`);
+    throw new Error(`not all instances are ready after ${START_TIMEOUT_MS} ms`);
   }
 
-  async #play(): Promise<number> {
+  async #injectFaults(): Promise<number> {
     const { seconds, only = FAULTS } = this.#opts;
-    const until = Date.now() + seconds * 1_000 - MEND_MS - LAST_MS;
+    const until = Date.now() + seconds * 1_000 - RECOVERY_MS - CHECK_WINDOW_MS;
     let faults = 0;
     while (Date.now() < until) {
-      await sleep(FAULT_EVERY_MS * (0.3 + this.random.next()));
+      await sleep(FAULT_INTERVAL_MS * (0.3 + this.random.next()));
       const name = this.pick(only);
       if (name === undefined) continue;
-      const what = await strike(this, name);
+      const target = await injectFault(this, name);
       faults++;
       const atMs = Date.now() - this.#began;
-      this.trace.push(`${atMs} ms: ${name}, ${what}`);
+      this.trace.push(`${atMs} ms: ${name}, ${target}`);
     }
-    await sleep(MEND_MS);
-    await this.#checkServed();
+    await sleep(RECOVERY_MS);
+    await this.#checkRecovery();
     return faults;
   }
 
-  /** Once all is mended most requests are to be served again. */
-  async #checkServed(): Promise<void> {
-    const served = await this.#callers?.servedIn(LAST_MS);
-    const { of, well } = served ?? { of: 0, well: 0 };
-    if (of > 0 && well >= of * LEAST_SERVED) return;
-    this.promises.violations.push({
+  /** Checks that most requests succeed after recovery. */
+  async #checkRecovery(): Promise<void> {
+    const served = await this.#callers?.measure(CHECK_WINDOW_MS);
+    const { total: total, succeeded: succeeded } = served ??
+      { total: 0, succeeded: 0 };
+    if (total > 0 && succeeded >= total * MIN_SUCCESS_RATIO) return;
+    this.checker.violations.push({
       atMs: Date.now() - this.#began,
       property: "once all is mended requests are served",
-      detail: `${well} of ${of}`,
+      detail: `${succeeded} of ${total}`,
       request: "",
     });
   }
@@ -227,7 +228,7 @@
   async #result(faults: number): Promise<ProcessSoakResult> {
     await this.#callers?.end();
     const { seed, seconds } = this.#opts;
-    const { violations } = this.promises;
+    const { violations } = this.checker;
     return {
       seed,
       seconds,
@@ -236,11 +237,11 @@
       faults,
       violations,
       trace: this.trace,
-      lines: await this.#linesOf(violations[0]?.request ?? ""),
+      lines: await this.#logLinesOf(violations[0]?.request ?? ""),
     };
   }
 
-  async #linesOf(request: string): Promise<string[]> {
+  async #logLinesOf(request: string): Promise<string[]> {
     if (request === "") return [];
     const lines: string[] = [];
     for (const { opts, logFile } of this.instances) {
@@ -255,9 +256,9 @@
     await this.#callers?.end();
     await Promise.all(this.instances.map((i) => i.close()));
     await Promise.all(this.storeLinks.map((link) => link.close()));
-    for (const { stand, proxy } of this.endpoints) {
+    for (const { fake, proxy } of this.endpoints) {
       await proxy.close();
-      await stand.close();
+      await fake.close();
     }
     await this.store?.close();
     await rm(this.#dir, { recursive: true, force: true });
--- a/tools/process_soak/process_soak_test.ts
+++ b/tools/process_soak/process_soak_test.ts
@@ -5,26 +5,26 @@
 import { stop } from "esbuild";
 import { bundleStandalone } from "../bundle/bundle.ts";
 import type { FaultName } from "./faults.ts";
-import { planted, type PlantedFault } from "./planted_fault.ts";
+import { mutateSource, type SourceMutation } from "./planted_fault.ts";
 import { ProcessSoak } from "./process_soak.ts";
 
 const SECONDS = 20;
 
-// The bundler's own process would keep this one from its end.
+// The bundler's child process would keep this process from exiting.
 test.after.always(() => void stop());
 
-/** Bundles the program, with a mistake if one is given. */
-async function program(fault?: PlantedFault): Promise<string> {
+/** Bundles the program, with the source mutation if one is given. */
+async function program(fault?: SourceMutation): Promise<string> {
   const dir = await mkdtemp(join(tmpdir(), "magnoliahook-bundle-"));
   const file = join(dir, "magnoliahook.cjs");
-  await bundleStandalone(file, fault === undefined ? [] : [planted(fault)]);
+  await bundleAlone(file, fault === undefined ? [] : [mutateSource(fault)]);
   return file;
 }
 
 test.serial("processes keep what is promised while faults strike from outside", async (t) => {
-  // Instances are killed, stopped and frozen, links are cut, the store fails,
-  // endpoints come and go, plans change, all at once. No caller gets another's
-  // answer, nothing runs twice, and all is served again once it is over.
+  // Guards against foreign responses, duplicate execution and failure to recover
+  // while instances are killed, stopped and frozen, links and the store fail,
+  // endpoints are replaced and plans change, all at once.
   const soak = new ProcessSoak({
     seed: 3,
     seconds: SECONDS,
@@ -38,9 +38,9 @@
 });
 
 test.serial("an instance that is told to stop twice cuts nothing", async (t) => {
-  // A roll-out is begun anew while it is under way, so that instances get the
-  // signal a second time while they let their requests end. Callers whose
-  // requests run see their connections close.
+  // Guards against connections closed under running requests when a rollout is
+  // restarted midway: instances then receive SIGTERM a second time while they
+  // drain their requests.
   const soak = new ProcessSoak({
     seed: 7,
     seconds: SECONDS,
@@ -52,7 +52,7 @@
   t.deepEqual(violations, []);
 });
 
-// Guards against instances that pass together the rate that an endpoint names.
+// Guards against instances that together exceed an endpoint's announced rate limit.
 test.serial("endpoints in need get no more than the rate they name", async (t) => {
   const soak = new ProcessSoak({
     seed: 5,
@@ -68,7 +68,7 @@
 
 const PLANTED: readonly {
   readonly name: string;
-  readonly fault: PlantedFault;
+  readonly fault: SourceMutation;
   readonly only: readonly FaultName[];
   readonly property: string;
 }[] = [
@@ -76,8 +76,8 @@
     name: "a request that may have run is sent again",
     fault: {
       file: "request_flow.ts",
-      text: "ctx.route.idempotent && this.#takeRetry(ctx)",
-      instead: "this.#takeRetry(ctx)",
+      text: "ctx.route.idempotent && this.#mayTryElsewhere(ctx)",
+      replacement: "this.#mayTryElsewhere(ctx)",
     },
     only: ["endpoint answers"],
     property: "what may run once runs once",
@@ -87,7 +87,7 @@
     fault: {
       file: "traffic_state.ts",
       text: "!row.record.draining && ",
-      instead: "",
+      replacement: "",
     },
     only: ["endpoint drain"],
     property: "an endpoint that leaves gets no new work",
@@ -97,7 +97,7 @@
     fault: {
       file: "fleet_bucket.ts",
       text: "this.#spend(Math.max(0, report.admitted - from), now);",
-      instead: "void from;",
+      replacement: "void from;",
     },
     only: ["plan"],
     property: "no account passes its rate",
@@ -106,8 +106,7 @@
 
 for (const { name, fault, only, property } of PLANTED) {
   test.serial(`the soak finds it where ${name}`, async (t) => {
-    // A check that lets this pass would let the same mistake pass in the
-    // program.
+    // A check that misses this defect would miss the same defect in the program.
     const soak = new ProcessSoak({
       seed: 4,
       seconds: SECONDS,
--- a/tools/process_soak/promises.ts
+++ b/tools/process_soak/property_checker.ts
@@ -1,5 +1,5 @@
 /**
- * What callers and endpoints must never see, checked while the soak runs.
+ * The properties that callers and endpoints rely on, checked while the soak runs.
  *
  * @module
  */
@@ -9,7 +9,7 @@
   CallerResult,
 } from "../../platform/testing/fake_caller.ts";
 
-/** A promise that was not kept. */
+/** A violated property. */
 export interface Violation {
   readonly atMs: number;
   readonly property: string;
@@ -17,69 +17,69 @@
   readonly request: string;
 }
 
-/** An attempt, and the instance that it went to. */
+/** A request attempt and the instance that received it. */
 export interface SentAttempt extends CallerAttempt {
   readonly account: string;
   readonly instance: string;
   readonly life: number;
   readonly sentAt: number;
-  /** The version of the plan from which on its route exists. */
+  /** The plan version that introduced its route. */
   readonly since: number;
 }
 
-/** What the world knows of its disturbances. */
-export interface Calm {
-  /** When an instance, or the store for all, was last disturbed. */
+/** When the components of the run were last disturbed, in milliseconds since the epoch. */
+export interface Disturbances {
+  /** When an instance or its store link was last disturbed. */
   instance(id: string): number;
   store(): number;
   /** When an endpoint or its link was last disturbed. */
   endpoint(id: string): number;
-  /** Whether this start of an instance was being stopped at a moment. */
+  /** Whether this incarnation of an instance is stopping gracefully. */
   stopping(id: string, life: number): boolean;
 }
 
-/** How long after a disturbance time bounds do not hold, in milliseconds. */
+/** Time after a disturbance during which time bounds are not checked, in milliseconds. */
 const SETTLE_MS = 3_000;
-/** A drain, a plan and a withdrawn key are in force after this, in ms. */
-const IN_FORCE_MS = 2_500;
-/** What a busy machine adds to that, in milliseconds. */
+/** Time until a drain, a plan or a key withdrawal takes effect, in milliseconds. */
+const PROPAGATION_MS = 2_500;
+/** Tolerance for scheduling delays on a busy machine, in milliseconds. */
 const SLACK_MS = 500;
-/** The window over which rates are judged, in seconds, and what it tolerates. */
+/** The window over which account rates are checked, in seconds, and its tolerance. */
 const RATE_WINDOW_S = 5;
 const RATE_OVERSHOOT = 1.1;
 const RATE_SLACK = 20;
-/** The same for the rates that endpoints in need name. */
+/** The same for the rate limits that endpoints announce. */
 const LIMIT_WINDOW_S = 4;
 const LIMIT_OVERSHOOT = 1.5;
 const LIMIT_SLACK = 5;
 const MS_PER_S = 1_000;
 
-/** A limit that an endpoint names, and what came since it has to be kept. */
-interface NamedLimit {
+/** A rate limit announced by an endpoint, and the arrivals in the current window. */
+interface EndpointLimit {
   readonly ratePerS: number;
   readonly since: number;
   arrivedAt: number[];
 }
 
-/** Records of one soak. */
-export class Promises {
+/** Records the observations of one run and checks them. */
+export class PropertyChecker {
   readonly violations: Violation[] = [];
   readonly #began = Date.now();
-  readonly #calm: Calm;
+  readonly #disturbances: Disturbances;
   readonly #sent = new Map<string, SentAttempt>();
   readonly #runs = new Map<string, EndpointRun[]>();
   readonly #notRun = new Set<string>();
   readonly #drainedAt = new Map<string, number>();
   readonly #withdrawnAt = new Map<string, number>();
   readonly #planAt = new Map<number, number>();
-  /** The newest plan that each start of an instance was seen to obey. */
-  readonly #obeyed = new Map<string, { version: number; at: number }>();
+  /** The newest plan that each incarnation of an instance has applied, by its responses. */
+  readonly #appliedPlans = new Map<string, { version: number; at: number }>();
   readonly #rates = new Map<string, { ratePerS: number; burst: number }>();
-  readonly #ranAt = new Map<string, number[]>();
-  readonly #limits = new Map<string, NamedLimit>();
+  readonly #startsByAccount = new Map<string, number[]>();
+  readonly #limits = new Map<string, EndpointLimit>();
 
-  constructor(calm: Calm) {
-    this.#calm = calm;
+  constructor(calm: Disturbances) {
+    this.#disturbances = calm;
   }
 
   limit(account: string, ratePerS: number, burst: number): void {
@@ -98,14 +98,14 @@
     this.#drainedAt.set(endpoint, Date.now());
   }
 
-  /** An endpoint begins to name a limit, or ceases to. */
+  /** Records an endpoint's announced rate limit; undefined withdraws it. */
   limited(endpoint: string, ratePerS: number | undefined): void {
     if (ratePerS === undefined) return void this.#limits.delete(endpoint);
     this.#limits.set(endpoint, { ratePerS, since: Date.now(), arrivedAt: [] });
   }
 
-  /** A request reaches an endpoint. */
-  arrived(endpoint: string, request: string): void {
+  /** Checks the endpoint's announced limit when a request arrives. */
+  requestArrived(endpoint: string, request: string): void {
     const limit = this.#limits.get(endpoint);
     const attempt = this.#sent.get(request);
     const now = Date.now();
@@ -124,8 +124,8 @@
     this.#sent.set(attempt.request, attempt);
   }
 
-  /** An endpoint begins to work. */
-  ran(run: EndpointRun): void {
+  /** Checks a request that an endpoint starts to run. */
+  requestStarted(run: EndpointRun): void {
     const { request, endpoint, account, keySeen, at } = run;
     const runs = [...this.#runs.get(request) ?? [], run];
     this.#runs.set(request, runs);
@@ -147,7 +147,7 @@
     this.#checkRate(attempt.account, at, run);
   }
 
-  /** A caller got its answer, or none. */
+  /** Checks the result of an attempt, which may be no response at all. */
   answered(attempt: SentAttempt, result: CallerResult): void {
     const { request } = attempt;
     const runs = this.#runs.get(request) ?? [];
@@ -164,11 +164,11 @@
     this.#checkStop(attempt, result, runs);
   }
 
-  /** Whether all that bears on a run has been calm for long enough. */
+  /** Whether the instance and the store have been undisturbed for the settling time. */
   #isCalm(instance: string, at: number): boolean {
     const disturbed = Math.max(
-      this.#calm.instance(instance),
-      this.#calm.store(),
+      this.#disturbances.instance(instance),
+      this.#disturbances.store(),
     );
     return at - disturbed > SETTLE_MS;
   }
@@ -180,11 +180,11 @@
   ): void {
     if (!this.#isCalm(instance, run.at)) return;
     const drainedAt = this.#drainedAt.get(endpoint) ?? Infinity;
-    if (run.at > drainedAt + IN_FORCE_MS + SLACK_MS) {
+    if (run.at > drainedAt + PROPAGATION_MS + SLACK_MS) {
       this.#add("an endpoint that leaves gets no new work", run);
     }
     const withdrawnAt = this.#withdrawnAt.get(key) ?? Infinity;
-    if (sentAt > withdrawnAt + IN_FORCE_MS + SLACK_MS) {
+    if (sentAt > withdrawnAt + PROPAGATION_MS + SLACK_MS) {
       this.#add("a withdrawn key stops working", run);
     }
   }
@@ -193,11 +193,11 @@
     const rate = this.#rates.get(account);
     if (rate === undefined) return;
     const from = at - RATE_WINDOW_S * MS_PER_S;
-    const recent = [...this.#ranAt.get(account) ?? [], at]
+    const recent = [...this.#startsByAccount.get(account) ?? [], at]
       .filter((t) => t > from);
-    this.#ranAt.set(account, recent);
-    const whole = rate.ratePerS * RATE_WINDOW_S + rate.burst;
-    if (recent.length > whole * RATE_OVERSHOOT + RATE_SLACK) {
+    this.#startsByAccount.set(account, recent);
+    const allowance = rate.ratePerS * RATE_WINDOW_S + rate.burst;
+    if (recent.length > allowance * RATE_OVERSHOOT + RATE_SLACK) {
       this.#add("no account passes its rate", run);
     }
   }
@@ -205,26 +205,29 @@
   #checkPlan(attempt: SentAttempt, result: CallerResult): void {
     const { instance, life, since, sentAt } = attempt;
     const start = `${instance} ${life}`;
-    const unknown = result.kind === "refused" && result.status === 404;
+    const routeMissing = result.kind === "refused" && result.status === 404;
     if (result.kind === "answer") {
-      const known = this.#obeyed.get(start);
-      if (known === undefined || known.version < since) {
-        this.#obeyed.set(start, { version: since, at: Date.now() });
+      const applied = this.#appliedPlans.get(start);
+      if (applied === undefined || applied.version < since) {
+        this.#appliedPlans.set(start, { version: since, at: Date.now() });
       }
     }
-    if (!unknown) return;
-    const obeyed = this.#obeyed.get(start);
-    if (obeyed && obeyed.version >= since && sentAt > obeyed.at + SLACK_MS) {
+    if (!routeMissing) return;
+    const appliedPlan = this.#appliedPlans.get(start);
+    if (
+      appliedPlan && appliedPlan.version >= since &&
+      sentAt > appliedPlan.at + SLACK_MS
+    ) {
       this.#add("a plan never goes back", attempt);
     }
     const ackedAt = this.#planAt.get(since) ?? Infinity;
-    const late = sentAt > ackedAt + IN_FORCE_MS + SLACK_MS;
-    if (late && this.#isCalm(instance, sentAt)) {
+    const overdue = sentAt > ackedAt + PROPAGATION_MS + SLACK_MS;
+    if (overdue && this.#isCalm(instance, sentAt)) {
       this.#add("a plan is in force within seconds", attempt);
     }
   }
 
-  /** What an endpoint runs is not cut by a stop in good order. */
+  /** Checks that a graceful stop does not break a request that an endpoint is running. */
   #checkStop(
     attempt: SentAttempt,
     result: CallerResult,
@@ -233,9 +236,10 @@
     const { instance, life } = attempt;
     const last = runs.at(-1);
     if (result.kind !== "broken" || last === undefined) return;
-    if (!this.#calm.stopping(instance, life)) return;
-    const harmed = this.#calm.endpoint(last.endpoint) > last.at - SETTLE_MS;
-    if (!harmed) this.#add("a planned stop cuts no request", attempt);
+    if (!this.#disturbances.stopping(instance, life)) return;
+    const disturbed =
+      this.#disturbances.endpoint(last.endpoint) > last.at - SETTLE_MS;
+    if (!disturbed) this.#add("a planned stop cuts no request", attempt);
   }
 
   #add(property: string, of: { readonly request: string }): void {
--- a/tools/process_soak/soak_callers.ts
+++ b/tools/process_soak/soak_callers.ts
@@ -1,5 +1,5 @@
 /**
- * The callers of a soak, which never rest.
+ * The closed-loop load generator of a soak.
  *
  * @module
  */
@@ -7,39 +7,39 @@
 import { FakeCaller } from "../../platform/testing/fake_caller.ts";
 import type { Random } from "../../src/core/mod.ts";
 import type { InstanceProcess } from "./instance_process.ts";
-import type { Promises, SentAttempt } from "./promises.ts";
+import type { PropertyChecker, SentAttempt } from "./property_checker.ts";
 import { HOST, type SoakOperators } from "./soak_operators.ts";
 
 const CALLERS = 12;
-const BETWEEN_REQUESTS_MS = 15;
+const THINK_TIME_MS = 15;
 const CLIENT_TIMEOUT_MS = 2_000;
 const OBJECTS = 40;
-/** How often a caller goes to another instance without a reason. */
-const MOVE_CHANCE = 0.05;
-/** How often a request takes the newest route. */
-const NEWEST_CHANCE = 0.15;
+/** Probability that a caller reconnects to a random instance after a response. */
+const RECONNECT_CHANCE = 0.05;
+/** Probability that a request uses the newest route. */
+const NEWEST_ROUTE_CHANCE = 0.15;
 const RATE_EXCEEDED = 429;
 
-/** What the callers work with. */
+/** Dependencies of the callers. */
 export interface SoakCallersOptions {
   readonly instances: readonly InstanceProcess[];
   readonly operators: SoakOperators;
-  readonly promises: Promises;
+  readonly checker: PropertyChecker;
   readonly random: Random;
 }
 
-/** Requests since a moment, and those served as they should be. */
-export interface Served {
-  of: number;
-  well: number;
+/** Number of requests in a window, and of those answered or fairly rate limited. */
+export interface RequestCounts {
+  total: number;
+  succeeded: number;
 }
 
-/** Callers of one run. */
+/** The callers of one run. */
 export class SoakCallers {
   readonly #opts: SoakCallersOptions;
   #loops: Promise<void>[] = [];
   #requests = 0;
-  #served: Served = { of: 0, well: 0 };
+  #counts: RequestCounts = { total: 0, succeeded: 0 };
   #ended = false;
 
   constructor(opts: SoakCallersOptions) {
@@ -52,67 +52,68 @@
   }
 
   start(): void {
-    this.#loops = Array.from({ length: CALLERS }, (_, i) => this.#call(i));
+    this.#loops = Array.from({ length: CALLERS }, (_, i) => this.#runCaller(i));
   }
 
-  /** Counts anew what is served, for as long as `forMs`. */
-  async servedIn(forMs: number): Promise<Served> {
-    this.#served = { of: 0, well: 0 };
+  /** Resets the counts and returns those of the next `forMs`. */
+  async measure(forMs: number): Promise<RequestCounts> {
+    this.#counts = { total: 0, succeeded: 0 };
     await sleep(forMs);
-    return { ...this.#served };
+    return { ...this.#counts };
   }
 
-  /** Resolves once what was sent has ended. */
+  /** Stops the callers; resolves once all requests have ended. */
   async end(): Promise<void> {
     this.#ended = true;
     await Promise.all(this.#loops);
   }
 
-  /** Calls without a break, over a connection that is kept while it lasts. */
-  async #call(number: number): Promise<void> {
-    const { promises, random } = this.#opts;
-    let instance = this.#anyInstance();
+  /** Sends requests one after another over a persistent connection. */
+  async #runCaller(number: number): Promise<void> {
+    const { checker, random } = this.#opts;
+    let instance = this.#randomInstance();
     let { life } = instance;
     let caller = new FakeCaller(instance.callerAddress);
     while (!this.#ended) {
-      const attempt = this.#attempt(number, instance);
-      promises.sent(attempt);
+      const attempt = this.#buildAttempt(number, instance);
+      checker.sent(attempt);
       const result = await caller.send(attempt);
-      promises.answered(attempt, result);
+      checker.answered(attempt, result);
       this.#requests++;
-      this.#served.of++;
-      const fair = result.kind === "not-run" && result.status === RATE_EXCEEDED;
-      if (result.kind === "answer" || fair) this.#served.well++;
+      this.#counts.total++;
+      const rateLimited = result.kind === "not-run" &&
+        result.status === RATE_EXCEEDED;
+      if (result.kind === "answer" || rateLimited) this.#counts.succeeded++;
       const broken = result.kind === "broken" || result.kind === "late" ||
         instance.life !== life;
-      if (broken || random.next() < MOVE_CHANCE) {
+      if (broken || random.next() < RECONNECT_CHANCE) {
         await caller.close();
-        instance = this.#anyInstance();
+        instance = this.#randomInstance();
         ({ life } = instance);
         caller = new FakeCaller(instance.callerAddress);
       }
-      await sleep(BETWEEN_REQUESTS_MS);
+      await sleep(THINK_TIME_MS);
     }
     await caller.close();
   }
 
-  #anyInstance(): InstanceProcess {
+  #randomInstance(): InstanceProcess {
     const { instances, random } = this.#opts;
     return instances[random.below(instances.length)]!;
   }
 
-  #attempt(number: number, instance: InstanceProcess): SentAttempt {
+  #buildAttempt(number: number, instance: InstanceProcess): SentAttempt {
     const { operators, random } = this.#opts;
     const { large, small, version } = operators;
     const account = random.next() < 0.5 ? large : small;
-    const newest = version > 1 && random.next() < NEWEST_CHANCE;
+    const newest = version > 1 && random.next() < NEWEST_ROUTE_CHANCE;
     const idempotent = newest || random.next() < 0.5;
     const since = newest ? version : 1;
-    const usual = idempotent ? "reads" : "writes";
+    const service = idempotent ? "reads" : "writes";
     return {
       request: `q${number}-${this.#requests}-${random.hex(4)}`,
       host: HOST,
-      path: newest ? `/since${since}/x` : `/${usual}/x`,
+      path: newest ? `/since${since}/x` : `/${service}/x`,
       key: account.keys[random.below(account.keys.length)] ?? "",
       object: String(random.below(OBJECTS)),
       idempotent,
--- a/tools/process_soak/soak_operators.ts
+++ b/tools/process_soak/soak_operators.ts
@@ -1,5 +1,5 @@
 /**
- * The operators of a soak: client accounts, and versions of the plan.
+ * The simulated operators of a soak, who publish plans and withdraw API keys.
  *
  * @module
  */
@@ -10,9 +10,9 @@
   planSpec,
 } from "../../platform/testing/plan_objects.ts";
 import type { Random } from "../../src/core/mod.ts";
-import type { Promises } from "./promises.ts";
+import type { PropertyChecker } from "./property_checker.ts";
 
-/** A client account; it holds two keys at a time. */
+/** A client account with two valid API keys at a time. */
 export interface SoakAccount {
   readonly id: string;
   keys: string[];
@@ -22,18 +22,18 @@
 
 /** The host of all routes. */
 export const HOST = "soak.example";
-/** Services that routes lead to. */
+/** Services that the routes refer to. */
 export const SERVICES = ["reads", "writes"] as const;
 const TIMEOUT_S = 1.5;
 
-/** What the operators work with. */
+/** Dependencies of the operators. */
 export interface SoakOperatorsOptions {
   readonly store: ObjectStoreServer;
-  readonly promises: Promises;
+  readonly checker: PropertyChecker;
   readonly random: Random;
 }
 
-/** Writes plans; each new version adds a route. */
+/** Publishes plans; each new version adds a route. */
 export class SoakOperators {
   readonly large: SoakAccount = {
     id: "large",
@@ -53,7 +53,7 @@
   constructor(opts: SoakOperatorsOptions) {
     this.#opts = opts;
     for (const { id, ratePerS, burst } of this.accounts) {
-      opts.promises.limit(id, ratePerS, burst);
+      opts.checker.limit(id, ratePerS, burst);
     }
   }
 
@@ -66,7 +66,7 @@
     return this.#version;
   }
 
-  /** Puts the plan in the store. */
+  /** Writes the current plan to the store. */
   publish(): void {
     const spec = planSpec({
       version: this.#version,
@@ -76,24 +76,24 @@
       accounts: this.accounts,
     });
     this.#opts.store.write(KINDS.plan, "main", spec);
-    this.#opts.promises.planAcknowledged(this.#version);
+    this.#opts.checker.planAcknowledged(this.#version);
   }
 
-  /** A new version adds a route. */
+  /** Publishes a new version, which adds a route. */
   newPlan(): string {
     this.#version++;
     this.publish();
     return `version ${this.#version}`;
   }
 
-  /** A new version withdraws an account's older key. */
+  /** Publishes a new version that withdraws an account's older key. */
   withdrawKey(): string {
-    const { random, promises } = this.#opts;
+    const { random, checker } = this.#opts;
     const account = random.below(2) === 0 ? this.large : this.small;
     const [old = "", kept = ""] = account.keys;
     account.keys = [kept, `${account.id}${this.#version}`];
     this.newPlan();
-    promises.keyWithdrawn(old);
+    checker.keyWithdrawn(old);
     return old;
   }
 
--- a/tools/process_soak/tcp_proxy.ts
+++ b/tools/process_soak/tcp_proxy.ts
@@ -1,6 +1,6 @@
 /**
- * A loopback proxy whose connections can be delayed, reset, silenced or cut one
- * way, as links between machines are.
+ * A loopback TCP proxy that simulates link failures: delay, resets, and loss in
+ * both directions or one.
  *
  * @module
  */
@@ -8,19 +8,19 @@
 import { connect, createServer, type Server, type Socket } from "node:net";
 import { boundPort, listenAt } from "../../src/edge/mod.ts";
 
-/** What the link does. */
+/** The state of the link. */
 export type LinkMode =
   | { readonly kind: "open" }
-  /** Everything is late by so much, in milliseconds. */
+  /** Data is delayed by `ms` milliseconds. */
   | { readonly kind: "delay"; readonly ms: number }
-  /** Connections are reset, new ones too. */
+  /** Existing and new connections are reset. */
   | { readonly kind: "reset" }
-  /** Bytes vanish in both directions; nobody is told. */
+  /** Data is dropped silently in both directions. */
   | { readonly kind: "silent" }
-  /** Bytes vanish on the way to whom the proxy stands before. */
+  /** Data is dropped silently on the way to the target. */
   | { readonly kind: "one-way" };
 
-/** A proxy before one address. */
+/** A proxy in front of one loopback port. */
 export class TcpProxy {
   readonly #server: Server;
   readonly #target: number;
@@ -29,10 +29,10 @@
 
   private constructor(target: number) {
     this.#target = target;
-    this.#server = createServer((socket) => this.#join(socket));
+    this.#server = createServer((socket) => this.#accept(socket));
   }
 
-  /** Listens before a port of loopback. */
+  /** Listens on a free port and forwards to `target`. */
   static async listen(target: number): Promise<TcpProxy> {
     const proxy = new TcpProxy(target);
     await listenAt(proxy.#server, "127.0.0.1:0");
@@ -43,18 +43,18 @@
     return boundPort(this.#server);
   }
 
-  /** Changes the link; what vanished meanwhile does not come back. */
+  /** Changes the link state; dropped data is not redelivered. */
   setMode(mode: LinkMode): void {
     const was = this.#mode.kind;
     this.#mode = mode;
-    // Bytes are missing in the middle of what these carry.
+    // After silent loss, the byte streams of these connections have gaps.
     if (was === "silent" || was === "one-way" || mode.kind === "reset") {
       this.#resetAll();
     }
   }
 
   close(): Promise<void> {
-    // Reset all at once, these left the event loop polling for good.
+    // Resetting all sockets at once made the event loop poll forever.
     for (const socket of this.#sockets) socket.destroy();
     return new Promise((resolve) => this.#server.close(() => resolve()));
   }
@@ -67,35 +67,35 @@
     this.#sockets.clear();
   }
 
-  #join(near: Socket): void {
-    if (this.#mode.kind === "reset") return void near.resetAndDestroy();
-    const far = connect(this.#target, "127.0.0.1");
-    this.#carry(near, far, true);
-    this.#carry(far, near, false);
+  #accept(client: Socket): void {
+    if (this.#mode.kind === "reset") return void client.resetAndDestroy();
+    const upstream = connect(this.#target, "127.0.0.1");
+    this.#pipe(client, upstream, true);
+    this.#pipe(upstream, client, false);
   }
 
-  #carry(from: Socket, to: Socket, inward: boolean): void {
+  #pipe(from: Socket, to: Socket, toTarget: boolean): void {
     this.#sockets.add(from);
     from.setNoDelay(true);
-    from.on("data", (bytes) => this.#pass(bytes, to, inward));
-    from.on("end", () => this.#later(() => to.end()));
-    // The other half learns of it by its own end.
+    from.on("data", (bytes) => this.#relay(bytes, to, toTarget));
+    from.on("end", () => this.#runDelayed(() => to.end()));
+    // Closing the peer socket reports the error to the other side.
     from.on("error", () => to.destroy());
     from.on("close", () => {
       this.#sockets.delete(from);
-      this.#later(() => to.destroy());
+      this.#runDelayed(() => to.destroy());
     });
   }
 
-  #pass(bytes: Buffer, to: Socket, inward: boolean): void {
+  #relay(bytes: Buffer, to: Socket, toTarget: boolean): void {
     const { kind } = this.#mode;
-    if (kind === "silent" || (kind === "one-way" && inward)) return;
-    this.#later(() => {
+    if (kind === "silent" || (kind === "one-way" && toTarget)) return;
+    this.#runDelayed(() => {
       if (!to.destroyed) to.write(bytes);
     });
   }
 
-  #later(run: () => void): void {
+  #runDelayed(run: () => void): void {
     if (this.#mode.kind === "delay") setTimeout(run, this.#mode.ms);
     else run();
   }
