--- a/tools/process_soak/faults.ts
+++ b/tools/process_soak/faults.ts
@@ -42,7 +42,7 @@
 /** Time from an endpoint's drain to the removal of its entry. */
 const DRAIN_MS = 3_500;
 const MIN_ENDPOINTS = 3;
-/** Duration of an announced rate limit; the limit is the least plus 0 to LIMITS_PER_S - 1. */
+/** Duration of an announced rate limit, its minimum and its random spread. */
 const LIMIT_DURATION_MS = 9_000;
 const MIN_LIMIT_PER_S = 2;
 const LIMIT_SPREAD_PER_S = 5;
@@ -101,7 +101,7 @@
   }
 }
 
-/** Makes an endpoint announce, in its responses, a rate limit for the whole fleet. */
+/** Makes an endpoint announce a fleet-wide rate limit in its responses. */
 function announceLimit(world: FaultTargets): string {
   const endpoint = world.pick(servingEndpoints(world));
   if (endpoint === undefined) return "none";
@@ -166,7 +166,7 @@
   return world.pick(enough);
 }
 
-/** Crashes an endpoint; a new one of the other service reuses its port if it can. */
+/** Crashes an endpoint; one of the other service reuses its port if free. */
 async function crashEndpoint(world: FaultTargets): Promise<string> {
   const endpoint = pickSpareEndpoint(world);
   if (endpoint === undefined) return "none to spare";
@@ -182,7 +182,7 @@
   return `${id}, its port to ${other}`;
 }
 
-/** Marks an endpoint as draining, adds a replacement, and later removes its entry. */
+/** Drains and replaces an endpoint, and later removes its entry. */
 async function drainEndpoint(world: FaultTargets): Promise<string> {
   const endpoint = pickSpareEndpoint(world);
   if (endpoint === undefined) return "none to spare";
--- a/tools/process_soak/instance_process.ts
+++ b/tools/process_soak/instance_process.ts
@@ -38,7 +38,7 @@
   /** Incarnation number: the count of starts so far. */
   life = 0;
   disturbedAt = 0;
-  /** When this incarnation first received SIGTERM; undefined if it did not, or was killed or frozen since. */
+  /** When a graceful stop began; undefined if none, or after kill or freeze. */
   stoppingSince: number | undefined;
   #child: ChildProcess | undefined;
   #frozen = false;
--- a/tools/process_soak/main.ts
+++ b/tools/process_soak/main.ts
@@ -1,7 +1,7 @@
 /**
  * `npm run soak:processes -- --seed N --seconds S --per-zone N`: runs the real
- * program as processes, and exits 1 if a property was violated. The last line of
- * output is JSON.
+ * program as processes, and exits 1 if a property was violated. The last line
+ * of output is JSON.
  *
  * @module
  */
--- a/tools/process_soak/planted_fault.ts
+++ b/tools/process_soak/planted_fault.ts
@@ -1,5 +1,5 @@
 /**
- * Builds the program with a deliberate defect, to check that the soak detects it.
+ * Builds the program with a deliberate defect that the soak has to detect.
  *
  * @module
  */
--- a/tools/process_soak/process_soak.ts
+++ b/tools/process_soak/process_soak.ts
@@ -44,7 +44,7 @@
   readonly violations: readonly Violation[];
   /** Injected faults, in order. */
   readonly trace: readonly string[];
-  /** Lines of all instance logs that contain the first violation's request id. */
+  /** Lines of the instance logs with the first violation's request id. */
   readonly lines: readonly string[];
 }
 
@@ -54,7 +54,7 @@
 const WORK_MS = 40;
 const GRACE_S = 4;
 const FAULT_INTERVAL_MS = 900;
-/** Recovery time after the last fault, then the window in which most requests must succeed. */
+/** Recovery time, then the window in which most requests must succeed. */
 const RECOVERY_MS = 6_000;
 const CHECK_WINDOW_MS = 2_000;
 const MIN_SUCCESS_RATIO = 0.8;
--- a/tools/process_soak/process_soak_test.ts
+++ b/tools/process_soak/process_soak_test.ts
@@ -22,9 +22,9 @@
 }
 
 test.serial("processes keep what is promised while faults strike from outside", async (t) => {
-  // Guards against foreign responses, duplicate execution and failure to recover
-  // while instances are killed, stopped and frozen, links and the store fail,
-  // endpoints are replaced and plans change, all at once.
+  // Guards against foreign responses, duplicate execution and failure to
+  // recover while instances are killed, stopped and frozen, links and the store
+  // fail, endpoints are replaced and plans change, all at once.
   const soak = new ProcessSoak({
     seed: 3,
     seconds: SECONDS,
@@ -52,7 +52,7 @@
   t.deepEqual(violations, []);
 });
 
-// Guards against instances that together exceed an endpoint's announced rate limit.
+// Guards against a fleet that exceeds an endpoint's announced rate limit.
 test.serial("endpoints in need get no more than the rate they name", async (t) => {
   const soak = new ProcessSoak({
     seed: 5,
@@ -106,7 +106,7 @@
 
 for (const { name, fault, only, property } of PLANTED) {
   test.serial(`the soak finds it where ${name}`, async (t) => {
-    // A check that misses this defect would miss the same defect in the program.
+    // A check that misses this defect would miss it in the program too.
     const soak = new ProcessSoak({
       seed: 4,
       seconds: SECONDS,
--- a/tools/process_soak/property_checker.ts
+++ b/tools/process_soak/property_checker.ts
@@ -1,5 +1,5 @@
 /**
- * The properties that callers and endpoints rely on, checked while the soak runs.
+ * The properties that callers and endpoints rely on, checked during the soak.
  *
  * @module
  */
@@ -27,7 +27,7 @@
   readonly since: number;
 }
 
-/** When the components of the run were last disturbed, in milliseconds since the epoch. */
+/** Times of the last disturbances, in milliseconds since the epoch. */
 export interface Disturbances {
   /** When an instance or its store link was last disturbed. */
   instance(id: string): number;
@@ -38,13 +38,13 @@
   stopping(id: string, life: number): boolean;
 }
 
-/** Time after a disturbance during which time bounds are not checked, in milliseconds. */
+/** Time after a disturbance without checks of time bounds, in milliseconds. */
 const SETTLE_MS = 3_000;
-/** Time until a drain, a plan or a key withdrawal takes effect, in milliseconds. */
+/** Time until a drain, plan or key withdrawal takes effect, in milliseconds. */
 const PROPAGATION_MS = 2_500;
 /** Tolerance for scheduling delays on a busy machine, in milliseconds. */
 const SLACK_MS = 500;
-/** The window over which account rates are checked, in seconds, and its tolerance. */
+/** The window for checks of account rates, in seconds, and its tolerance. */
 const RATE_WINDOW_S = 5;
 const RATE_OVERSHOOT = 1.1;
 const RATE_SLACK = 20;
@@ -54,7 +54,7 @@
 const LIMIT_SLACK = 5;
 const MS_PER_S = 1_000;
 
-/** A rate limit announced by an endpoint, and the arrivals in the current window. */
+/** An endpoint's announced rate limit and the arrivals in the window. */
 interface EndpointLimit {
   readonly ratePerS: number;
   readonly since: number;
@@ -72,7 +72,7 @@
   readonly #drainedAt = new Map<string, number>();
   readonly #withdrawnAt = new Map<string, number>();
   readonly #planAt = new Map<number, number>();
-  /** The newest plan that each incarnation of an instance has applied, by its responses. */
+  /** The newest plan that the responses of each incarnation confirm. */
   readonly #appliedPlans = new Map<string, { version: number; at: number }>();
   readonly #rates = new Map<string, { ratePerS: number; burst: number }>();
   readonly #startsByAccount = new Map<string, number[]>();
@@ -164,7 +164,7 @@
     this.#checkStop(attempt, result, runs);
   }
 
-  /** Whether the instance and the store have been undisturbed for the settling time. */
+  /** Whether instance and store were undisturbed for the settling time. */
   #isCalm(instance: string, at: number): boolean {
     const disturbed = Math.max(
       this.#disturbances.instance(instance),
@@ -227,7 +227,7 @@
     }
   }
 
-  /** Checks that a graceful stop does not break a request that an endpoint is running. */
+  /** Checks that a graceful stop breaks no request at a healthy endpoint. */
   #checkStop(
     attempt: SentAttempt,
     result: CallerResult,
--- a/tools/process_soak/soak_callers.ts
+++ b/tools/process_soak/soak_callers.ts
@@ -14,7 +14,7 @@
 const THINK_TIME_MS = 15;
 const CLIENT_TIMEOUT_MS = 2_000;
 const OBJECTS = 40;
-/** Probability that a caller reconnects to a random instance after a response. */
+/** Probability of reconnecting to a random instance after a response. */
 const RECONNECT_CHANCE = 0.05;
 /** Probability that a request uses the newest route. */
 const NEWEST_ROUTE_CHANCE = 0.15;
@@ -28,7 +28,7 @@
   readonly random: Random;
 }
 
-/** Number of requests in a window, and of those answered or fairly rate limited. */
+/** Requests in a window, and those of them answered or rate limited. */
 export interface RequestCounts {
   total: number;
   succeeded: number;
--- a/tools/soak/soak.ts
+++ b/tools/soak/soak.ts
@@ -209,7 +209,7 @@
     else this.#checks.calmSince ??= clock.now();
   }
 
-  /** Injects a fault or repairs all of them; returns the target for the trace. */
+  /** Injects a fault or repairs all; returns the target for the trace. */
   #applyFault(kind: FaultKind): string | undefined {
     if (kind === "mend") return this.#repairAll();
     const { network, nodes, endpoints } = this.#world;
@@ -297,7 +297,7 @@
     if (there.length < 2) this.#world.start(zone, region);
   }
 
-  /** Starts a replacement and stops the instance; a paused one cannot be stopped gracefully. */
+  /** Starts a replacement and stops the instance, unless it is paused. */
   #stop(node: SoakNode): string | undefined {
     if (node.instance === undefined || node.clock.paused) return undefined;
     const zonePeers = this.#world.nodes.filter((n) => n.zone === node.zone);
--- a/tools/soak/soak_checks.ts
+++ b/tools/soak/soak_checks.ts
@@ -38,7 +38,7 @@
 
 const SETTLE_MS = 6_000;
 const MS_PER_S = 1_000;
-/** Factor by which one second may exceed a link's cap, since a body counts at once. */
+/** Allowed excess over a link's cap in a second: a body counts at once. */
 const LINK_SLACK = 1.5;
 
 interface Bucket {
@@ -80,7 +80,7 @@
     this.#attempts.set(attempt.request, attempt);
   }
 
-  /** Records the end of an attempt: a response, a refusal or a broken connection. */
+  /** Checks an attempt that ended in a response, a refusal or a failure. */
   end(attempt: Attempt): void {
     attempt.ended = true;
     const ran = this.#runs.has(attempt.request);
@@ -227,7 +227,7 @@
     }
   }
 
-  /** Requests may queue until their deadline, so the bucket also holds that time's refill. */
+  /** The bucket also holds one deadline's refill, since requests may queue. */
   #checkRate({ account, at }: EndpointRun, earlier: number): void {
     if (earlier > 0) return;
     const { ratePerS, burst } = ACCOUNTS[account] ?? { ratePerS: 0, burst: 0 };
@@ -270,7 +270,7 @@
     this.#linkBytes.set(link, (this.#linkBytes.get(link) ?? 0) + bytes);
   }
 
-  /** A suspended budget means that shares exceeded the rate: a violation, although contained. */
+  /** A suspended budget is a violation, although it contains the excess. */
   #onEvent(name: string, fields: LogFields): void {
     if (name !== "budget_suspended") return;
     const detail = `${fields["account"]}: ${fields["reason"]}`;
--- a/tools/soak/soak_clock.ts
+++ b/tools/soak/soak_clock.ts
@@ -49,7 +49,7 @@
     };
   }
 
-  /** Resolves while the process runs, after a pause ends, and never after a kill. */
+  /** Resolves at once, after a pause ends, or never if the process was killed. */
   untilRunning(): Promise<void> {
     return new Promise((resolve) => this.#runOrDefer(resolve));
   }
--- a/tools/soak/soak_document.ts
+++ b/tools/soak/soak_document.ts
@@ -30,7 +30,7 @@
 const BITS_PER_BYTE = 8;
 const BITS_PER_MBIT = 1_000_000;
 
-/** An account's API key by number; each withdrawal is followed by the next number. */
+/** An account's API key; each withdrawal moves on to the next number. */
 export function keyOf(account: string, number: number): string {
   return `key-${account}-${number}`;
 }
--- a/tools/soak/soak_endpoints.ts
+++ b/tools/soak/soak_endpoints.ts
@@ -43,7 +43,7 @@
   readonly faults = { lose: 0, probes: 0 };
   /** Called when an endpoint starts a request. */
   onRun: (run: EndpointRun) => void = () => {};
-  /** Called for each request forwarded between instances, with its body size. */
+  /** Called for each forwarded request, with its body size. */
   onForward: (from: NetworkNode, url: string, bytes: number) => void = () => {};
   readonly #world: Clock;
   readonly #random: Random;
@@ -122,7 +122,7 @@
     });
   }
 
-  /** Runs a request to completion, even if the sender timed out or was killed. */
+  /** Runs a request to its end, even if the sender timed out or was killed. */
   #run(
     from: NetworkNode,
     req: EndpointRequest,
--- a/tools/soak/soak_network.ts
+++ b/tools/soak/soak_network.ts
@@ -80,7 +80,7 @@
     };
   }
 
-  /** Calls another instance; fails with `peer_unavailable` if it is down or the call times out. */
+  /** Calls another instance; fails if it is down or the call times out. */
   call<T>(
     from: NetworkNode,
     url: string,
--- a/tools/soak/soak_test.ts
+++ b/tools/soak/soak_test.ts
@@ -30,7 +30,7 @@
   });
 }
 
-/** Uses a leased seat without checking its expiry, so that it survives a pause. */
+/** Uses a leased seat without checking its expiry. */
 class UncheckedSeats extends LeasedSeats {
   override held() {
     return super.held(-Infinity);
--- a/tools/soak/soak_world.ts
+++ b/tools/soak/soak_world.ts
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Applies the named sections; returns the generation, or undefined on failure. */
+  /** Applies the named sections; returns the generation unless it failed. */
   async publish(...names: string[]): Promise<number | undefined> {
     const sections = names.map((n) =>
       [n as SectionName, structuredClone(this.sections[n])] as const
@@ -177,7 +177,10 @@
   }
 }
 
-/** Shortens the seat hold: the default of an hour would leave a zone whose instances all crashed without seats until the end. */
+/**
+ * Shortens the seat hold. With the default of an hour, a zone whose instances
+ * all crashed would have no seats until the end of the run.
+ */
 class ShortHoldSeats extends LeasedSeats {
   constructor(deps: LeasedSeatsDeps) {
     super({
--- a/tools/standins/endpoint_server.ts
+++ b/tools/standins/endpoint_server.ts
@@ -23,7 +23,7 @@
   readonly seed: number;
 }
 
-/** One request received by the endpoint; times in milliseconds since the epoch. */
+/** A received request; times in milliseconds since the epoch. */
 export interface RunRecord {
   readonly endpoint: string;
   readonly service: string;
@@ -112,15 +112,17 @@
     return run;
   }
 
-  /** Processing time: a small share is long, and none exceeds the request's timeout. */
+  /** Some requests take long, but none longer than its timeout. */
   #workMs(req: IncomingMessage): number {
-    const long = this.#random.next() < LONG_REQUEST_RATIO ? LONG_REQUEST_FACTOR : 1;
+    const long = this.#random.next() < LONG_REQUEST_RATIO
+      ? LONG_REQUEST_FACTOR
+      : 1;
     const spread = 0.5 + this.#random.next();
     const ms = this.spec.workMs * spread * long * this.slowness;
     return Math.min(ms, Number(req.headers["x-timeout-ms"] ?? Infinity));
   }
 
-  /** Echoes the account and request id, so that a caller can detect a foreign response. */
+  /** Echoes account and request id, so that callers detect foreign responses. */
   #answer(req: IncomingMessage, res: ServerResponse, bytes: number): void {
     const text = JSON.stringify({
       endpoint: this.spec.id,
--- a/tools/standins/stand_in_world.ts
+++ b/tools/standins/stand_in_world.ts
@@ -18,7 +18,7 @@
 import { FakeCaller } from "../../platform/testing/fake_caller.ts";
 import { InstanceProcess } from "../process_soak/instance_process.ts";
 
-/** Loopback address derived from the process id, so that parallel runs do not clash. */
+/** Loopback address by process id, so that parallel runs do not clash. */
 const HOST = `127.9.${(process.pid >> 8) & 0xff}.${process.pid & 0xff}`;
 const CALLER_HOST = "shop.example";
 const ZONE = "zone-1";
@@ -37,7 +37,7 @@
   readonly nodeFlags: readonly string[];
 }
 
-/** Store, endpoints and callers in this process; each instance is a child process. */
+/** Store, endpoints and callers in this process; instances are children. */
 export class StandInWorld {
   readonly #store: ObjectStoreServer;
   readonly #endpoints: readonly FakeEndpoint[];
@@ -105,7 +105,7 @@
     return instance;
   }
 
-  /** Sends requests at a constant rate; returns the number of complete responses. */
+  /** Sends requests at a constant rate; returns the count of valid responses. */
   async load(
     instance: InstanceProcess,
     perS: number,
--- a/tools/standins/store_server.ts
+++ b/tools/standins/store_server.ts
@@ -16,7 +16,7 @@
 
 const MAX_BODY = "2mb";
 
-/** Body of `POST /faults`: the faults to change; the others stay as they are. */
+/** Body of `POST /faults`: the faults to change; others stay as they are. */
 const FaultsChange = z.strictObject({
   down: z.boolean(),
   slowMs: z.number().nonnegative(),
