--- a/tools/bench/instance_cost.ts
+++ b/tools/bench/instance_cost.ts
@@ -11,7 +11,7 @@
 import { RUNTIME_FLAGS } from "../bundle/runtime_flags.ts";
 import type { InstanceProcess } from "../process_soak/instance_process.ts";
 import { statMs } from "./proc_stat.ts";
-import { StandInWorld } from "../standins/stand_in_world.ts";
+import { InstanceTestBed } from "../standins/instance_test_bed.ts";
 
 /** `BENCH_FLAGS` replaces the Node.js flags; separated by spaces. */
 const NODE_FLAGS = process.env.BENCH_FLAGS?.split(" ") ?? RUNTIME_FLAGS;
@@ -32,7 +32,7 @@
 
 /** Prints the CPU time of the first 2.5 s after a start, under load. */
 export async function benchStart(): Promise<void> {
-  const world = await StandInWorld.open();
+  const world = await InstanceTestBed.open();
   try {
     const rows: ProcessorTime[] = [];
     for (let i = 0; i < STARTS; i++) {
@@ -54,7 +54,7 @@
 
 /** Prints the CPU time per request at rising rates, each in a new process. */
 export async function benchRequest(): Promise<void> {
-  const world = await StandInWorld.open();
+  const world = await InstanceTestBed.open();
   try {
     const rows = [];
     let idleMs = 0;
@@ -79,7 +79,7 @@
 
 /** CPU time of a new instance over the sample, measured once it is ready. */
 async function measure(
-  world: StandInWorld,
+  world: InstanceTestBed,
   perS: number,
 ): Promise<{ time: ProcessorTime; answered: number }> {
   const instance = world.start(LAUNCH_OPTIONS);
--- a/tools/bundle/code_cache.ts
+++ b/tools/bundle/code_cache.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import { existsSync } from "node:fs";
-import { StandInWorld } from "../standins/stand_in_world.ts";
+import { InstanceTestBed } from "../standins/instance_test_bed.ts";
 import { CODE_CACHE } from "./program.ts";
 import { RUNTIME_FLAGS } from "./runtime_flags.ts";
 
@@ -17,7 +17,7 @@
 
 /** Writes the cache; resolves to false if it was not written in time. */
 export async function makeCodeCache(): Promise<boolean> {
-  const world = await StandInWorld.open();
+  const world = await InstanceTestBed.open();
   const instance = world.start({
     program: "tools/bundle/code_cache_main.ts",
     nodeFlags: [...RUNTIME_FLAGS, "--import=tsx"],
--- a/tools/demo/endpoints_main.ts
+++ b/tools/demo/endpoints_main.ts
@@ -29,6 +29,6 @@
   const [, verb, id, factor] = req.url?.split("/") ?? [];
   if (verb !== "slow") return;
   for (const endpoint of endpoints) {
-    if (endpoint.spec.id === id) endpoint.slowness = Number(factor);
+    if (endpoint.spec.id === id) endpoint.latencyFactor = Number(factor);
   }
 }
--- a/tools/process_soak/process_soak_test.ts
+++ b/tools/process_soak/process_soak_test.ts
@@ -17,7 +17,10 @@
 async function program(fault?: SourceMutation): Promise<string> {
   const dir = await mkdtemp(join(tmpdir(), "magnoliahook-bundle-"));
   const file = join(dir, "magnoliahook.cjs");
-  await bundleStandalone(file, fault === undefined ? [] : [mutateSource(fault)]);
+  await bundleStandalone(
+    file,
+    fault === undefined ? [] : [mutateSource(fault)],
+  );
   return file;
 }
 
--- a/tools/standins/endpoint_server.ts
+++ b/tools/standins/endpoint_server.ts
@@ -45,7 +45,7 @@
   readonly spec: EndpointSpec;
   readonly runs: RunRecord[] = [];
   /** Multiplies processing times; raised to simulate a slow endpoint. */
-  slowness = 1;
+  latencyFactor = 1;
   readonly #random: Random;
   readonly #server: Server;
   #inFlight = 0;
@@ -118,7 +118,7 @@
       ? LONG_REQUEST_FACTOR
       : 1;
     const spread = 0.5 + this.#random.next();
-    const ms = this.spec.workMs * spread * long * this.slowness;
+    const ms = this.spec.workMs * spread * long * this.latencyFactor;
     return Math.min(ms, Number(req.headers["x-timeout-ms"] ?? Infinity));
   }
 
--- a/tools/standins/stand_in_world.ts
+++ b/tools/standins/instance_test_bed.ts
@@ -31,14 +31,14 @@
 const MS_PER_S = 1_000;
 
 /** The program that an instance process runs. */
-export interface Program {
+export interface InstanceProgram {
   readonly program: string;
   /** Node.js flags, placed before the program. */
   readonly nodeFlags: readonly string[];
 }
 
 /** Store, endpoints and callers in this process; instances are children. */
-export class StandInWorld {
+export class InstanceTestBed {
   readonly #store: ObjectStoreServer;
   readonly #endpoints: readonly FakeEndpoint[];
   readonly #dir: string;
@@ -54,7 +54,7 @@
     this.#dir = dir;
   }
 
-  static async open(): Promise<StandInWorld> {
+  static async open(): Promise<InstanceTestBed> {
     const store = await ObjectStoreServer.listen(LIST_PAGE);
     const endpoints: FakeEndpoint[] = [];
     for (let i = 0; i < ENDPOINTS; i++) {
@@ -80,7 +80,7 @@
       store.write("servers", id, spec, status);
     }
     store.write("config", "main", buildPlan());
-    return new StandInWorld(
+    return new InstanceTestBed(
       store,
       endpoints,
       await mkdtemp(join(tmpdir(), "bench-")),
@@ -88,7 +88,7 @@
   }
 
   /** Starts an instance as a child process. */
-  start({ program, nodeFlags }: Program): InstanceProcess {
+  start({ program, nodeFlags }: InstanceProgram): InstanceProcess {
     const instance = new InstanceProcess({
       id: "bench-1",
       zone: ZONE,
