--- a/tools/soak/soak_clock.ts
+++ b/tools/soak/soak_clock.ts
@@ -58,7 +58,7 @@
     if (this.#state === "running") this.#state = "paused";
   }
 
-  /** Ends a pause; calls `awake` before the deferred timers run. */
+  /** Ends a pause; calls `beforeTimers` before the deferred timers run. */
   resume(beforeTimers: () => void = () => {}): void {
     if (this.#state !== "paused") return;
     this.#state = "running";
