--- a/tools/process_soak/process_soak_test.ts
+++ b/tools/process_soak/process_soak_test.ts
@@ -79,8 +79,8 @@
     name: "a request that may have run is sent again",
     fault: {
       file: "request_flow.ts",
-      text: "ctx.route.idempotent && this.#mayTryElsewhere(ctx)",
-      replacement: "this.#mayTryElsewhere(ctx)",
+      text: "ctx.route.idempotent && this.#takeRetry(ctx)",
+      replacement: "this.#takeRetry(ctx)",
     },
     only: ["endpoint answers"],
     property: "what may run once runs once",
