--- a/src/decisions/limits/leased_limiter.ts
+++ b/src/decisions/limits/leased_limiter.ts
@@ -229,7 +229,7 @@
     if (!queue.waiters.includes(waiter)) return;
     queue.waiters = queue.waiters.filter((w) => w !== waiter);
     queue.row.waiting = queue.waiters.length;
-    waiter.settle(fail("cancelled", "the caller went away", {
+    waiter.settle(fail("cancelled", "the caller disconnected", {
       outcome: "not-run",
     }));
   }
--- a/src/decisions/regions/region_dispatcher.ts
+++ b/src/decisions/regions/region_dispatcher.ts
@@ -256,7 +256,7 @@
 };
 
 function cancelled(): Result<never, Failure> {
-  return fail("cancelled", "the caller went away", { outcome: "not-run" });
+  return fail("cancelled", "the caller disconnected", { outcome: "not-run" });
 }
 
 function noCapacity(req: SteeringRequest): Result<never, Failure> {
--- a/src/decisions/steering/refusals.ts
+++ b/src/decisions/steering/refusals.ts
@@ -39,5 +39,5 @@
 
 /** The caller cancelled before anything was sent. */
 export function cancelled(): Result<never, Failure> {
-  return fail("cancelled", "the caller went away", { outcome: "not-run" });
+  return fail("cancelled", "the caller disconnected", { outcome: "not-run" });
 }
--- a/src/edge/instance_list.ts
+++ b/src/edge/instance_list.ts
@@ -32,7 +32,7 @@
   list: InstanceList,
   profile: InstanceProfile,
   opts: {
-    readonly member: Pick<FleetMember, "listed" | "fleetSize">;
+    readonly member: Pick<FleetMember, "onInstanceList" | "fleetSize">;
     readonly clock: Clock;
     readonly random: Random;
     readonly log: Log;
@@ -47,7 +47,7 @@
       : err(announced.error);
     if (signal.aborted) return;
     if (read.isOk()) {
-      member.listed(read.value);
+      member.onInstanceList(read.value);
       log.event("instances_listed", { instances: member.fleetSize });
       return;
     }
--- a/src/edge/request_codec.ts
+++ b/src/edge/request_codec.ts
@@ -1,5 +1,5 @@
 /**
- * Interface between the request path and the header names on the wire, which an
+ * Interface between the request flow and the header names on the wire, which an
  * adapter reads and writes.
  *
  * @module
--- a/src/edge/steering_handlers.ts
+++ b/src/edge/steering_handlers.ts
@@ -110,8 +110,8 @@
     this.#pendingRemovals.set(id, timer);
   }
 
-  setReachable(inTouch: boolean): void {
-    if (inTouch) this.#expiry.regained(this.#clock.now());
+  setReachable(reachable: boolean): void {
+    if (reachable) this.#expiry.regained(this.#clock.now());
     else this.#expiry.lost(this.#clock.now());
   }
 
--- a/src/edge/steering_watchers.ts
+++ b/src/edge/steering_watchers.ts
@@ -47,10 +47,10 @@
     const createWatcher = <T>(
       kind: string,
       source: ResourceClient<T>,
-      sink: ResourceHandler<T>,
+      handler: ResourceHandler<T>,
     ): [string, ResourceWatcher<unknown>] => [
       kind,
-      new ResourceWatcher({ ...common, kind, source, handler: sink }),
+      new ResourceWatcher({ ...common, kind, source, handler }),
     ];
     this.#watchers = new Map([
       createWatcher("plans", sources.plans, handlers.plans),
--- a/src/fleet/fleet_member.ts
+++ b/src/fleet/fleet_member.ts
@@ -194,7 +194,7 @@
   }
 
   /** Adds the instances on the list. */
-  listed(profiles: readonly InstanceProfile[]): void {
+  onInstanceList(profiles: readonly InstanceProfile[]): void {
     this.#peers.onInstanceList(profiles, this.#opts.clock.now());
   }
 
--- a/src/fleet/testing/member_fleet.ts
+++ b/src/fleet/testing/member_fleet.ts
@@ -118,7 +118,7 @@
     const profiles = this.members.map((m) => m.profile);
     for (const { member } of this.members) {
       member.start();
-      member.listed(profiles);
+      member.onInstanceList(profiles);
     }
   }
 
@@ -143,7 +143,7 @@
     // Its transport delivers datagrams from the next microtask on.
     queueMicrotask(() => {
       entry.member.start();
-      entry.member.listed(this.members.map((m) => m.profile));
+      entry.member.onInstanceList(this.members.map((m) => m.profile));
     });
   }
 
--- a/src/instance/document_follower.ts
+++ b/src/instance/document_follower.ts
@@ -48,7 +48,7 @@
 const WATCH_TIMEOUT_MS = 5_000;
 const RETRY_DELAY_MS = 250;
 /** How often other instances check whether the watch has passed to them. */
-const WATCH_DUTY_CHECK_MS = 500;
+const WATCH_OWNER_CHECK_MS = 500;
 /** Fallback to watches and peers, so that a lost message only delays a change. */
 const POLL_INTERVAL_MS = 20_000;
 const POLL_JITTER_MS = 10_000;
@@ -137,7 +137,7 @@
     while (!this.#closed) {
       if (this.#deps.watches()) await this.#watch();
       else if (this.#deps.clock.now() >= this.#nextPollAt) await this.#poll();
-      else await sleep(this.#deps.clock, WATCH_DUTY_CHECK_MS);
+      else await sleep(this.#deps.clock, WATCH_OWNER_CHECK_MS);
     }
   }
 
--- a/src/instance/instance.ts
+++ b/src/instance/instance.ts
@@ -62,7 +62,7 @@
   createFollower,
   createSeats,
 } from "./component_overrides.ts";
-import { outcomeLog } from "./outcome_log.ts";
+import { outcomeRecorder } from "./outcome_recorder.ts";
 import { PlatformContact } from "./platform_contact.ts";
 import { Steering } from "./steering.ts";
 import { type HandOverStep, runStopSequence } from "./stop_sequence.ts";
@@ -204,7 +204,7 @@
     this.#peerExchange.register(this.#burnPublisher);
     this.#requestPath = new RequestPipeline({
       ...deps,
-      outcomes: outcomeLog({
+      outcomes: outcomeRecorder({
         ...deps,
         counts: this.#burnPublisher.counts,
         document,
--- a/src/instance/outcome_log.ts
+++ b/src/instance/outcome_recorder.ts
@@ -9,8 +9,8 @@
 import type { OutcomeRecorder } from "../gateway/mod.ts";
 import type { BurnCounts } from "../slo/mod.ts";
 
-/** Creates the outcome log of the request path. */
-export function outcomeLog(
+/** Creates the outcome recorder of the request pipeline. */
+export function outcomeRecorder(
   { clock, counts, document }: {
     clock: Clock;
     counts: BurnCounts;
--- a/src/operations/home_operations_test.ts
+++ b/src/operations/home_operations_test.ts
@@ -338,7 +338,7 @@
 
 /**
  * A duplicate message of a refused attempt arrives when there is room again.
- * The caller was told "not run" and has started over elsewhere, so a run now
+ * The caller received "not run" and has started over elsewhere, so a run now
  * would be the second.
  */
 test("a refused attempt stays refused when its message is duplicated", async (t) => {
@@ -362,7 +362,7 @@
 
 /**
  * The owner is paused right after its intent was recorded, long enough for
- * other instances to answer on its behalf. The caller was told "unknown" and
+ * other instances to answer on its behalf. The caller received "unknown" and
  * may have given the lot to another buyer, so the owner must not dispatch when
  * it resumes.
  */
--- a/src/operations/ledger_model_test.ts
+++ b/src/operations/ledger_model_test.ts
@@ -4,7 +4,7 @@
 /**
  * An operation is attempted twice while messages are lost, duplicated and
  * reordered and processes crash at any step. In every order the endpoint
- * receives it at most once, and no caller is falsely told "not run".
+ * receives it at most once, and no caller falsely receives "not run".
  */
 for (const homeKind of ["token", "seat"] as const) {
   test(`every interleaving at a ${homeKind} runs it at most once`, (t) => {
--- a/src/operations/seat_home_router_test.ts
+++ b/src/operations/seat_home_router_test.ts
@@ -129,8 +129,8 @@
 
 /**
  * The home's holder is gone and its seat has no new holder yet. A new request
- * certainly did not run; a repeated one may have, and if it is told "not run",
- * its caller places the order again under another id.
+ * certainly did not run; a repeated one may have, and if it is answered with
+ * "not run", its caller places the order again under another id.
  */
 test("without a home, only a new id is reported not-run", async (t) => {
   const { fleet, owner, zonePeer, otherZone } = await makeSetup();
--- a/src/operations/testing/ledger_model.ts
+++ b/src/operations/testing/ledger_model.ts
@@ -64,7 +64,7 @@
   readonly otherBackup: { readonly ledger: Ledger };
   messages: Message[];
   dispatches: number;
-  /** Whether any caller was told that the operation will not run. */
+  /** Whether any caller received the answer that the operation will not run. */
   refused: boolean;
   repeats: number;
   asks: number;
