--- a/src/edge/stop_plan.ts
+++ b/src/edge/stop_plan.ts
@@ -26,7 +26,7 @@
  *
  * @example
  * ```ts
- * stopPlan(6_000); // { stopListeningMs: 3000, giveUpMs: 5850 }
+ * stopPlan(6_000); // { stopListeningMs: 3000, forceCloseMs: 5850 }
  * ```
  */
 export function stopPlan(graceMs: number): StopPlan {
--- a/src/membership/seat_lease.ts
+++ b/src/membership/seat_lease.ts
@@ -68,7 +68,7 @@
  *
  * @example
  * ```ts
- * const lease = leaseOn(table, 0, { self, promises, timing, now });
+ * const lease = currentLease(table, 0, { self, promises, timing, now });
  * ```
  */
 export function currentLease(
