--- a/src/instance/document_follower.ts
+++ b/src/instance/document_follower.ts
@@ -177,10 +177,10 @@
     if (this.isProcessed(generation)) return true;
     const contents = await this.#loadContents(found);
     if (contents === undefined) return false;
-    const before = await this.#previousContents(found);
+    const previous = await this.#previousContents(found);
     if (this.isProcessed(generation)) return true;
     const assembled = assembleDocument(found.manifest, contents, {
-      previous: before,
+      previous,
       parse: this.#sections.parse,
     });
     if (assembled.isErr()) {
--- a/tools/process_soak/planted_fault.ts
+++ b/tools/process_soak/planted_fault.ts
@@ -15,7 +15,7 @@
 
 /** Applies the mutation during bundling; fails if the file lacks the text. */
 export function mutateSource(
-  { file, text, replacement: instead }: SourceMutation,
+  { file, text, replacement }: SourceMutation,
 ): Plugin {
   return {
     name: "planted",
@@ -24,7 +24,7 @@
       setup.onLoad({ filter }, async ({ path }) => {
         const source = await readFile(path, "utf8");
         if (!source.includes(text)) throw new Error(`${path} lacks "${text}"`);
-        return { contents: source.replace(text, instead), loader: "ts" };
+        return { contents: source.replace(text, replacement), loader: "ts" };
       });
     },
   };
--- a/tools/process_soak/process_soak.ts
+++ b/tools/process_soak/process_soak.ts
@@ -214,8 +214,7 @@
   /** Checks that most requests succeed after recovery. */
   async #checkRecovery(): Promise<void> {
     const served = await this.#callers?.measure(CHECK_WINDOW_MS);
-    const { total: total, succeeded: succeeded } = served ??
-      { total: 0, succeeded: 0 };
+    const { total, succeeded } = served ?? { total: 0, succeeded: 0 };
     if (total > 0 && succeeded >= total * MIN_SUCCESS_RATIO) return;
     this.checker.violations.push({
       atMs: Date.now() - this.#began,
